--- a/crates/bench/src/placement.rs
+++ b/crates/bench/src/placement.rs
@@ -6,7 +6,7 @@
 use hooktrestle_core::placement::Layout;
 use hooktrestle_core::placement::Planner;
 use hooktrestle_core::placement::baseline;
-use hooktrestle_core::placement::bound;
+use hooktrestle_core::placement::min_skew;
 use hooktrestle_core::popularity;
 use hooktrestle_core::popularity::Popularity;
 
@@ -138,14 +138,14 @@
         weight_skew: weights.skew * BUSY_SHARE,
         weight_rebalance: weights.rebalance,
         load_ms: LOAD_MS,
-        most_loads: MOST_LOADS,
+        max_loads: MOST_LOADS,
     }
 }
 
 /// Runs one policy over the ticks.
 pub fn run(policy: Policy, group: Group, ticks: &[Tick]) -> Outcome {
     let experts = ticks.first().map_or(0, |tick| tick.tokens.len());
-    let mut layout = Layout::even(experts, group.ranks, group.slots);
+    let mut layout = Layout::round_robin(experts, group.ranks, group.slots);
     let mut popularity = Popularity::new(popularity::Config::default(), experts);
     let mut planner = match policy {
         Policy::Planned(weights) => Some(Planner::new(config(weights))),
@@ -167,7 +167,7 @@
         if matches!(policy, Policy::Repack) && number % REPACK_TICKS == REPACK_TICKS - 1 {
             if minute.iter().sum::<f64>() > 0.0 {
                 let packed = baseline::pack(&minute, group.ranks, group.slots);
-                outcome.moves += layout.loads_to(&packed);
+                outcome.moves += layout.weight_loads_to(&packed);
                 layout = packed;
             }
             minute.fill(0.0);
@@ -180,7 +180,7 @@
 }
 
 fn lasts_ms(popularity: &Popularity) -> f64 {
-    (popularity.lasted_counts() * (TICK_S * 1000) as f64).min(LASTS_AT_MOST_MS)
+    (popularity.stable_counts() * (TICK_S * 1000) as f64).min(LASTS_AT_MOST_MS)
 }
 
 fn record(outcome: &mut Outcome, layout: &Layout, group: Group, tokens: &[f64]) {
@@ -194,7 +194,7 @@
     let fastest = loads.iter().copied().fold(f64::MAX, f64::min);
     outcome.skews.push(slowest / mean);
     outcome.spreads.push((slowest - fastest) / mean);
-    outcome.bounds.push(bound(tokens, group.ranks, group.slots));
+    outcome.bounds.push(min_skew(tokens, group.ranks, group.slots));
 }
 
 /// Ticks of seeded demand.
@@ -210,7 +210,7 @@
         .map(|layer| Demand::new(demand::Config { seed: config.seed + layer, ..config }))
         .collect();
     let mut planner = Planner::new(self::config(weights));
-    let mut layouts = vec![Layout::even(config.experts, group.ranks, group.slots); layers];
+    let mut layouts = vec![Layout::round_robin(config.experts, group.ranks, group.slots); layers];
     let mut estimates =
         vec![Popularity::new(popularity::Config::default(), config.experts); layers];
     let mut worst: f64 = 0.0;
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -19,16 +19,16 @@
     /// Its number at the gateway.
     pub number: u64,
     /// Whether and where it may be tried again.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Most attempts.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// Whether and where a request may be tried again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It is repeatable: anywhere, at any time.
-    Freely,
+    Unrestricted,
     /// It is not repeatable, and only this gateway knows its ticket: elsewhere, with a new
     /// ticket, once the old one can never run.
     WithNewTicket,
@@ -170,7 +170,7 @@
         }
         match self.phase {
             Phase::Streaming { .. } => self.finish(Refusal::ran(Cause::LinkLost)),
-            Phase::Sent if self.is_repeatable() && self.attempt + 1 < self.config.most_attempts => {
+            Phase::Sent if self.is_repeatable() && self.attempt + 1 < self.config.max_attempts => {
                 self.again(Refusal::may_have_run(Cause::LinkLost), true, budget)
             }
             Phase::Sent => {
@@ -208,13 +208,13 @@
     }
 
     fn is_repeatable(&self) -> bool {
-        self.config.repeat == Repeat::Freely
+        self.config.retry_policy == RetryPolicy::Unrestricted
     }
 
     /// Tries again if that is `allowed` and within the limits, else finishes.
     fn again(&mut self, refusal: Refusal, allowed: bool, budget: &mut RetryBudget) -> Next {
-        let left = self.attempt + 1 < self.config.most_attempts;
-        let held = self.config.repeat == Repeat::Never;
+        let left = self.attempt + 1 < self.config.max_attempts;
+        let held = self.config.retry_policy == RetryPolicy::Never;
         if held || !allowed || !left || !budget.take() {
             return self.finish(refusal);
         }
@@ -251,6 +251,6 @@
 }
 
 /// The answer to a request that cannot be sent anywhere.
-pub fn nowhere_to_go(retry_after: Millis) -> Refusal {
+pub fn no_backend_server(retry_after: Millis) -> Refusal {
     Refusal::not_run(Cause::NoBackendServer).retry_after(retry_after)
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -25,8 +25,8 @@
 use crate::fair_queue::FairQueue;
 use crate::fair_queue::FlowId;
 use crate::id::RequestId;
-use crate::once;
-use crate::once::TicketMemory;
+use crate::ticket_memory;
+use crate::ticket_memory::TicketMemory;
 use crate::util::arena::Arena;
 use crate::util::arena::Key;
 use crate::verdict::Refusal;
@@ -44,13 +44,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Requests that may run at once.
-    pub most_running: usize,
+    pub max_running: usize,
     /// Requests that may wait.
-    pub most_queued: usize,
+    pub max_queued: usize,
     /// Bounds of the ticket memory.
-    pub tickets: once::Config,
+    pub tickets: ticket_memory::Config,
     /// How long an unlinked gateway's records are kept.
-    pub remember_gateway: Millis,
+    pub gateway_retention: Millis,
 }
 
 /// One incarnation of a gateway.
@@ -84,7 +84,7 @@
 
 /// What a gateway asks to have run.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct RequestSpec {
     /// The account's place in the fair queue.
     pub flow: FlowId,
     /// The account's share.
@@ -108,7 +108,7 @@
 
 /// Answer to a gateway's hello.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Linking {
+pub enum LinkOutcome {
     /// The link is open; these runs of its older link have nobody to answer and are to be aborted.
     Open(Link, Vec<RunKey>),
     /// A newer link of the same incarnation is open already.
@@ -144,7 +144,7 @@
 
 /// What to do when the caller of a request has gone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cancelling {
+pub enum CancelOutcome {
     /// It waited and never will run.
     Removed(RunKey),
     /// It runs: abort it at the backend server.
@@ -167,9 +167,9 @@
     tickets: TicketMemory,
     leaving: bool,
     /// What the backend server asked.
-    asked: Asked,
+    server_back_off: Asked,
     /// How many requests a second it takes: all that reach it come through here.
-    limited: Limited,
+    advertised_limit: Limited,
     permits: Bucket,
 }
 
@@ -187,16 +187,16 @@
             mean_run_ms: FIRST_RUN_TIME_MS,
             tickets: TicketMemory::new(config.tickets, incarnation),
             leaving: false,
-            asked: Asked::default(),
-            limited: Limited::default(),
+            server_back_off: Asked::default(),
+            advertised_limit: Limited::default(),
             permits: Bucket::holding(0.0, Millis::ZERO),
         }
     }
 
     /// Changes the limits. What runs or waits beyond them stays.
-    pub fn set_limits(&mut self, most_running: usize, most_queued: usize) {
-        self.config.most_running = most_running;
-        self.config.most_queued = most_queued;
+    pub fn set_limits(&mut self, max_running: usize, max_queued: usize) {
+        self.config.max_running = max_running;
+        self.config.max_queued = max_queued;
     }
 
     /// Requests that wait.
@@ -220,20 +220,20 @@
     }
 
     /// Opens a link for a gateway's incarnation.
-    pub fn link(&mut self, now: Millis, name: u64, incarnation: u64, epoch: u64) -> Linking {
+    pub fn link(&mut self, now: Millis, name: u64, incarnation: u64, epoch: u64) -> LinkOutcome {
         let key = match self.by_name.get(&(name, incarnation)) {
             Some(key) => *key,
             None => self.add_gateway(name, incarnation),
         };
         let newest = &self.gateways[key];
         if newest.epoch > epoch || (newest.linked && newest.epoch == epoch) {
-            return Linking::Stale;
+            return LinkOutcome::Stale;
         }
         let aborted = self.abandon(now, key);
         let gateway = &mut self.gateways[key];
         gateway.epoch = epoch;
         gateway.linked = true;
-        Linking::Open(Link { gateway: key, epoch }, aborted)
+        LinkOutcome::Open(Link { gateway: key, epoch }, aborted)
     }
 
     /// A link has closed: nobody is left to answer over it. Returns the runs to abort.
@@ -248,23 +248,29 @@
     }
 
     /// Takes a request in, or says why not.
-    pub fn request(&mut self, now: Millis, link: Link, id: RequestId, offer: Offer) -> Arrival {
+    pub fn request(
+        &mut self,
+        now: Millis,
+        link: Link,
+        id: RequestId,
+        spec: RequestSpec,
+    ) -> Arrival {
         let key = RunKey { gateway: link.gateway, id };
         if !self.is_current(link) || self.gateways[link.gateway].records.contains_key(&id) {
             return Arrival::Drop;
         }
-        if let Some(ticket) = &offer.ticket
-            && let Err(refusal) = self.tickets.take(now, ticket)
+        if let Some(ticket) = &spec.ticket
+            && let Err(refusal) = self.tickets.accept(now, ticket)
         {
             return Arrival::Refuse { refusal, spent: refusal.cause == Cause::Revoked };
         }
-        if let Some(refusal) = self.refusal(now, &offer) {
-            if let Some(ticket) = &offer.ticket {
+        if let Some(refusal) = self.refusal(now, &spec) {
+            if let Some(ticket) = &spec.ticket {
                 self.tickets.spend(now, ticket);
             }
-            return Arrival::Refuse { refusal, spent: offer.ticket.is_some() };
+            return Arrival::Refuse { refusal, spent: spec.ticket.is_some() };
         }
-        self.enqueue(now, key, offer);
+        self.enqueue(now, key, spec);
         Arrival::Queued(key)
     }
 
@@ -273,11 +279,11 @@
         if let Some((deadline, key)) = self.deadlines.first().copied()
             && deadline <= now
         {
-            self.take_back(now, key);
+            self.dequeue(now, key);
             return Next::Expire(key);
         }
-        if self.running < self.config.most_running
-            && self.asked.rests_until(now).is_none()
+        if self.running < self.config.max_running
+            && self.server_back_off.rests_until(now).is_none()
             && self.has_permit(now)
             && let Some(entry) = self.queue.pop()
         {
@@ -290,7 +296,7 @@
 
     /// Takes a permit for the request that waits longest, if there is one.
     fn has_permit(&mut self, now: Millis) -> bool {
-        match self.limited.limit() {
+        match self.advertised_limit.limit() {
             Some(limit) => !self.queue.is_empty() && self.permits.take(limit.per_ms(), 1, now) > 0,
             None => true,
         }
@@ -298,8 +304,8 @@
 
     /// When what waits is looked at again because there is a permit.
     fn next_permit_at(&self, now: Millis) -> Millis {
-        let waits = !self.queue.is_empty() && self.running < self.config.most_running;
-        match self.limited.limit().filter(|_| waits) {
+        let waits = !self.queue.is_empty() && self.running < self.config.max_running;
+        match self.advertised_limit.limit().filter(|_| waits) {
             Some(limit) => now + self.permits.until(1.0, limit.per_ms(), now).max(Millis(1)),
             None => Millis::MAX,
         }
@@ -307,15 +313,15 @@
 
     /// Whether the backend server names a limit.
     pub fn is_limited(&self) -> bool {
-        self.limited.limit().is_some()
+        self.advertised_limit.limit().is_some()
     }
 
     /// The backend server said how many requests it takes, or that it takes any number.
-    pub fn hear_limit(&mut self, said: Said) {
+    pub fn apply_limit(&mut self, said: Said) {
         // One that names none and never did binds nothing.
         let was_limited = self.is_limited();
         if said.limit.is_some() || was_limited {
-            self.limited.hear(said);
+            self.advertised_limit.hear(said);
         }
         if !was_limited {
             self.permits = Bucket::holding(0.0, said.latest);
@@ -358,18 +364,18 @@
     }
 
     /// The caller of a request has gone.
-    pub fn cancel(&mut self, now: Millis, link: Link, id: RequestId) -> Cancelling {
+    pub fn cancel(&mut self, now: Millis, link: Link, id: RequestId) -> CancelOutcome {
         let key = RunKey { gateway: link.gateway, id };
         if !self.is_current(link) {
-            return Cancelling::Unknown;
+            return CancelOutcome::Unknown;
         }
         match self.gateways[link.gateway].records.get(&id) {
             Some(State::Queued { .. }) => {
-                self.take_back(now, key);
-                Cancelling::Removed(key)
+                self.dequeue(now, key);
+                CancelOutcome::Removed(key)
             }
-            Some(State::Running { .. }) => Cancelling::Abort(key),
-            Some(State::Finished) | None => Cancelling::Unknown,
+            Some(State::Running { .. }) => CancelOutcome::Abort(key),
+            Some(State::Finished) | None => CancelOutcome::Unknown,
         }
     }
 
@@ -391,7 +397,7 @@
         let gateway = &self.gateways[link.gateway];
         let verdict = match gateway.records.get(&id) {
             Some(State::Queued { .. }) => {
-                self.take_back(now, RunKey { gateway: link.gateway, id });
+                self.dequeue(now, RunKey { gateway: link.gateway, id });
                 Verdict::NotRun
             }
             Some(State::Running { .. } | State::Finished) => Verdict::Ran,
@@ -403,36 +409,39 @@
 
     /// Starts leaving: everything that waits is given back, and nothing new is taken.
     /// Returns what to refuse as `not-run`.
-    pub fn leave(&mut self, now: Millis) -> Vec<RunKey> {
+    pub fn start_leaving(&mut self, now: Millis) -> Vec<RunKey> {
         self.leaving = true;
-        self.give_back(now)
+        self.dequeue_all(now)
     }
 
     /// The backend server asked to be sent nothing for a while: nothing waits here for that.
     /// Returns what to refuse as `not-run`, and for how long.
-    pub fn rest(&mut self, now: Millis, span: Millis) -> (Vec<RunKey>, Millis) {
-        self.asked.rest(span, now);
-        let waiting = self.give_back(now);
-        (waiting, self.asked.rests_until(now).map_or(Millis::ZERO, |until| until.since(now)))
+    pub fn back_off(&mut self, now: Millis, span: Millis) -> (Vec<RunKey>, Millis) {
+        self.server_back_off.rest(span, now);
+        let waiting = self.dequeue_all(now);
+        (
+            waiting,
+            self.server_back_off.rests_until(now).map_or(Millis::ZERO, |until| until.since(now)),
+        )
     }
 
     /// Takes all that waits out of the queue.
-    fn give_back(&mut self, now: Millis) -> Vec<RunKey> {
+    fn dequeue_all(&mut self, now: Millis) -> Vec<RunKey> {
         let waiting: Vec<RunKey> = self.queue.iter().map(|entry| entry.key).collect();
         for key in &waiting {
-            self.take_back(now, *key);
+            self.dequeue(now, *key);
         }
         waiting
     }
 
     /// Ends leaving, after operators took the drain back.
-    pub fn stay(&mut self) {
+    pub fn stop_leaving(&mut self) {
         self.leaving = false;
     }
 
     /// Forgets gateways that have been gone for long enough.
-    pub fn forget_gone(&mut self, now: Millis) {
-        let keep = self.config.remember_gateway;
+    pub fn evict_unlinked(&mut self, now: Millis) {
+        let keep = self.config.gateway_retention;
         let gateways = &mut self.gateways;
         self.by_name.retain(|_, key| {
             let gateway = &mut gateways[*key];
@@ -447,45 +456,45 @@
     /// When to come back to a queue this long: the time that it takes to work off.
     fn retry_after(&self) -> Millis {
         let waiting = self.queue.len() as f64 + 1.0;
-        let rounds = waiting / self.config.most_running.max(1) as f64;
+        let rounds = waiting / self.config.max_running.max(1) as f64;
         Millis((rounds * self.mean_run_ms).ceil() as u64)
     }
 
-    fn refusal(&self, now: Millis, offer: &Offer) -> Option<Refusal> {
+    fn refusal(&self, now: Millis, spec: &RequestSpec) -> Option<Refusal> {
         if self.leaving {
             return Some(Refusal::not_run(Cause::Leaving));
         }
-        if offer.deadline_in == Millis::ZERO {
+        if spec.deadline_in == Millis::ZERO {
             return Some(Refusal::not_run(Cause::DeadlinePassed));
         }
-        if let Some(until) = self.asked.rests_until(now) {
+        if let Some(until) = self.server_back_off.rests_until(now) {
             return Some(Refusal::not_run(Cause::BackendRefused).retry_after(until.since(now)));
         }
-        if let Some(limit) = self.limited.limit() {
+        if let Some(limit) = self.advertised_limit.limit() {
             let turn = self.permits.until(self.queue.len() as f64 + 1.0, limit.per_ms(), now);
-            if turn > offer.deadline_in {
+            if turn > spec.deadline_in {
                 return Some(Refusal::not_run(Cause::QueueFull).retry_after(turn));
             }
         }
-        let busy = self.running >= self.config.most_running;
-        if busy && self.queue.len() >= self.config.most_queued {
+        let busy = self.running >= self.config.max_running;
+        if busy && self.queue.len() >= self.config.max_queued {
             return Some(Refusal::not_run(Cause::QueueFull).retry_after(self.retry_after()));
         }
         None
     }
 
-    fn enqueue(&mut self, now: Millis, key: RunKey, offer: Offer) {
-        let deadline = now + offer.deadline_in;
+    fn enqueue(&mut self, now: Millis, key: RunKey, spec: RequestSpec) {
+        let deadline = now + spec.deadline_in;
         self.queue.push(Entry {
             key,
-            flow: offer.flow,
-            weight: offer.weight,
-            cost_tokens: offer.cost_tokens,
-            priority: offer.priority,
+            flow: spec.flow,
+            weight: spec.weight,
+            cost_tokens: spec.cost_tokens,
+            priority: spec.priority,
             arrived: now,
         });
         self.deadlines.insert((deadline, key));
-        let state = State::Queued { deadline, ticket: offer.ticket };
+        let state = State::Queued { deadline, ticket: spec.ticket };
         self.gateways[key.gateway].records.insert(key.id, state);
     }
 
@@ -504,7 +513,7 @@
 
     fn settle_unknown(&mut self, now: Millis, ticket: Option<&Ticket>) -> Verdict {
         if let Some(ticket) = ticket
-            && !self.tickets.is_taken(ticket)
+            && !self.tickets.is_accepted(ticket)
         {
             self.tickets.spend(now, ticket);
         }
@@ -512,7 +521,7 @@
     }
 
     /// Takes a waiting request out for good: its ticket, if any, is spent.
-    fn take_back(&mut self, now: Millis, key: RunKey) {
+    fn dequeue(&mut self, now: Millis, key: RunKey) {
         let state = self.gateways[key.gateway].records.remove(&key.id);
         let Some(State::Queued { deadline, ticket }) = state else {
             debug_assert!(false, "only a queued request is taken back");
@@ -538,7 +547,7 @@
             }
         }
         for key in waiting {
-            self.take_back(now, key);
+            self.dequeue(now, key);
         }
         running
     }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -12,7 +12,7 @@
 
 /// The row as it was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
+pub struct ObservedLease {
     /// Version of the row.
     pub version: u64,
     /// Who holds it.
@@ -39,29 +39,29 @@
 #[derive(Clone, Debug)]
 pub struct Lease {
     holder: String,
-    lasts: Millis,
+    duration: Millis,
     newest: Option<(u64, Millis)>,
     held: Option<(u64, Millis)>,
-    starts_over: bool,
+    needs_new_epoch: bool,
 }
 
 impl Lease {
     /// A view that has seen nothing; `holder` is this process's name, different in each life.
-    pub fn new(holder: String, lasts: Millis) -> Lease {
-        Lease { holder, lasts, newest: None, held: None, starts_over: false }
+    pub fn new(holder: String, duration: Millis) -> Lease {
+        Lease { holder, duration, newest: None, held: None, needs_new_epoch: false }
     }
 
     /// The row was read.
-    pub fn look(&mut self, now: Millis, row: Option<&Seen>) -> Next {
+    pub fn observe_row(&mut self, now: Millis, row: Option<&ObservedLease>) -> Next {
         let Some(row) = row else { return Next::Write { if_version: 0, epoch: 1 } };
         if row.holder == self.holder {
-            let epoch = row.epoch + u64::from(self.starts_over);
+            let epoch = row.epoch + u64::from(self.needs_new_epoch);
             return Next::Write { if_version: row.version, epoch };
         }
         self.held = None;
         match self.newest {
             Some((version, since)) if version == row.version => {
-                if now.since(since) < self.lasts {
+                if now.since(since) < self.duration {
                     return Next::Wait;
                 }
                 Next::Write { if_version: row.version, epoch: row.epoch + 1 }
@@ -76,15 +76,15 @@
     /// A write has taken effect that was begun at `began`: others wait at least until that time
     /// and the lease's have passed.
     pub fn wrote(&mut self, began: Millis, epoch: u64) {
-        self.held = Some((epoch, began + self.lasts));
-        self.starts_over = false;
+        self.held = Some((epoch, began + self.duration));
+        self.needs_new_epoch = false;
     }
 
     /// What was done under this epoch was left unfinished: the holder goes on only under the next
     /// one, so that late orders of its own cannot be taken for new ones.
-    pub fn start_over(&mut self) {
+    pub fn require_new_epoch(&mut self) {
         self.held = None;
-        self.starts_over = true;
+        self.needs_new_epoch = true;
     }
 
     /// The epoch under which this process leads; `None` if the lease may have lapsed. Ask right
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,7 +14,7 @@
 //! At a sidecar:
 //! - [`dispatch`]: queues, starts, refuses, and knows what ran.
 //! - [`fair_queue`]: whose request goes next.
-//! - [`once`]: the tickets of requests that are not repeatable.
+//! - [`ticket_memory`]: the tickets of requests that are not repeatable.
 //!
 //! For a group of ranks:
 //! - [`lease`]: who leads.
@@ -44,7 +44,6 @@
 pub mod lease;
 pub mod limits;
 pub mod map_switch;
-pub mod once;
 pub mod placement;
 pub mod popularity;
 pub mod retry;
@@ -52,5 +51,6 @@
 pub mod rows;
 pub mod standstill;
 pub mod subset;
+pub mod ticket_memory;
 pub mod util;
 pub mod verdict;
--- a/crates/core/src/map_switch.rs
+++ b/crates/core/src/map_switch.rs
@@ -18,7 +18,7 @@
 //!
 //! The fence of a rank, [`Rank::promised`], must outlive its sidecar. A backend server that keeps
 //! fences keeps it; before one that does not, a restarted sidecar answers nothing until it has
-//! read from the table which ballots were given out ([`Rank::learn`]).
+//! read from the table which ballots were given out ([`Rank::restore_fence`]).
 
 mod leader;
 mod rank;
@@ -27,8 +27,8 @@
 pub use leader::Leader;
 pub use leader::Progress;
 pub use rank::Gate;
+pub use rank::OrderAction;
 pub use rank::Rank;
-pub use rank::Staging;
 
 /// A leader's claim; the higher one wins.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -94,7 +94,7 @@
 
 /// A rank's state, as a leader has to know it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Standing {
+pub struct RankState {
     /// The map in use.
     pub current: MapId,
     /// The map that is staged.
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Reply {
     /// It has joined this ballot.
-    Joined(Ballot, Standing),
+    Joined(Ballot, RankState),
     /// It has staged the map.
     Staged(MapId),
     /// It could not, and has promised nothing.
--- a/crates/core/src/map_switch/leader.rs
+++ b/crates/core/src/map_switch/leader.rs
@@ -4,8 +4,8 @@
 use crate::map_switch::MapId;
 use crate::map_switch::Order;
 use crate::map_switch::OrderKind;
+use crate::map_switch::RankState;
 use crate::map_switch::Reply;
-use crate::map_switch::Standing;
 
 /// Where a leader is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Phase {
-    Joining { joined: Vec<Option<Standing>> },
+    Joining { joined: Vec<Option<RankState>> },
     Staging { map: MapId, at_step: u64, staged: Vec<bool> },
     Committing { map: MapId, done: Vec<bool> },
     Aborting { maps: Vec<Option<MapId>> },
@@ -37,7 +37,7 @@
     /// The map in use when nothing is under way.
     current: MapId,
     /// Called off under this ballot: its version is not proposed again.
-    called_off: MapId,
+    aborted_map: MapId,
     next_step: u64,
     phases: u32,
 }
@@ -50,7 +50,7 @@
             ranks,
             phase: Phase::Joining { joined: vec![None; ranks] },
             current: MapId::default(),
-            called_off: MapId::default(),
+            aborted_map: MapId::default(),
             next_step: 0,
             phases: 0,
         }
@@ -83,7 +83,7 @@
     /// Proposes a new map, `horizon` steps ahead. Returns its id; `None` unless settled.
     pub fn propose(&mut self, horizon: u64) -> Option<MapId> {
         let Phase::Settled { map, next_step } = self.phase else { return None };
-        let version = map.version.max(self.called_off.version) + 1;
+        let version = map.version.max(self.aborted_map.version) + 1;
         let map = MapId { version, ballot: self.ballot };
         let at_step = next_step + horizon;
         self.enter(Phase::Staging { map, at_step, staged: vec![false; self.ranks] });
@@ -91,9 +91,9 @@
     }
 
     /// Calls the switch off if it is not decided: too much time has passed.
-    pub fn give_up(&mut self) {
+    pub fn abort_staging(&mut self) {
         if let Phase::Staging { map, .. } = self.phase {
-            self.call_off(map);
+            self.start_abort(map);
         }
     }
 
@@ -135,8 +135,8 @@
                     self.enter(Phase::Deposed(by));
                 }
             }
-            Reply::Joined(ballot, standing) if ballot == self.ballot => {
-                self.joined(rank, standing);
+            Reply::Joined(ballot, state) if ballot == self.ballot => {
+                self.joined(rank, state);
             }
             Reply::Joined(..) => {}
             Reply::Staged(map) => self.staged(rank, map),
@@ -146,22 +146,22 @@
         }
     }
 
-    fn joined(&mut self, rank: usize, standing: Standing) {
+    fn joined(&mut self, rank: usize, state: RankState) {
         let Phase::Joining { joined } = &mut self.phase else { return };
-        joined[rank] = Some(standing);
-        let Some(all) = joined.iter().copied().collect::<Option<Vec<Standing>>>() else { return };
-        self.next_step = all.iter().map(|standing| standing.step).max().unwrap_or(0);
-        self.current = all.iter().map(|standing| standing.current).max().unwrap_or_default();
-        self.finish_for_others(&all);
+        joined[rank] = Some(state);
+        let Some(all) = joined.iter().copied().collect::<Option<Vec<RankState>>>() else { return };
+        self.next_step = all.iter().map(|state| state.step).max().unwrap_or(0);
+        self.current = all.iter().map(|state| state.current).max().unwrap_or_default();
+        self.resolve_earlier_switches(&all);
     }
 
     /// Ends what older leaders left behind: commits what some rank has committed, aborts the rest.
-    fn finish_for_others(&mut self, all: &[Standing]) {
-        let decided = all.iter().find_map(|standing| match standing.armed {
+    fn resolve_earlier_switches(&mut self, all: &[RankState]) {
+        let decided = all.iter().find_map(|state| match state.armed {
             Some(armed) if armed.committed => Some(armed.map),
             _ => None,
         });
-        let behind = all.iter().any(|standing| standing.current != self.current);
+        let behind = all.iter().any(|state| state.current != self.current);
         let decided = decided.or(behind.then_some(self.current));
         if let Some(map) = decided {
             self.current = map;
@@ -169,7 +169,7 @@
             return;
         }
         let maps: Vec<Option<MapId>> =
-            all.iter().map(|standing| standing.armed.map(|armed| armed.map)).collect();
+            all.iter().map(|state| state.armed.map(|armed| armed.map)).collect();
         self.enter(Phase::Aborting { maps });
         self.settle_if_aborted();
     }
@@ -189,12 +189,12 @@
         if let Phase::Staging { map: wanted, .. } = self.phase
             && wanted == map
         {
-            self.call_off(map);
+            self.start_abort(map);
         }
     }
 
-    fn call_off(&mut self, map: MapId) {
-        self.called_off = map;
+    fn start_abort(&mut self, map: MapId) {
+        self.aborted_map = map;
         self.enter(Phase::Aborting { maps: vec![Some(map); self.ranks] });
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// The highest step that a rank is known to have reached; keeps the horizon ahead of it.
-    pub fn saw_step(&mut self, step: u64) {
+    pub fn observe_step(&mut self, step: u64) {
         self.next_step = self.next_step.max(step);
         if let Phase::Settled { next_step, .. } = &mut self.phase {
             *next_step = self.next_step;
--- a/crates/core/src/map_switch/wire.rs
+++ b/crates/core/src/map_switch/wire.rs
@@ -14,8 +14,8 @@
 use crate::map_switch::MapId;
 use crate::map_switch::Order;
 use crate::map_switch::OrderKind;
+use crate::map_switch::RankState;
 use crate::map_switch::Reply;
-use crate::map_switch::Standing;
 
 impl From<&MapBallot> for Ballot {
     fn from(ballot: &MapBallot) -> Ballot {
@@ -83,15 +83,15 @@
 /// A reply with the experts that the rank has.
 pub fn reply(reply: Reply, experts: &[u16]) -> MapReply {
     match reply {
-        Reply::Joined(ballot, standing) => MapReply::Joined(MapJoined {
+        Reply::Joined(ballot, state) => MapReply::Joined(MapJoined {
             ballot: ballot.into(),
-            current: standing.current.into(),
-            armed: standing.armed.map(|armed| MapArmed {
+            current: state.current.into(),
+            armed: state.armed.map(|armed| MapArmed {
                 map: armed.map.into(),
                 at_step_number: armed.at_step,
                 committed: armed.committed,
             }),
-            step_number: standing.step,
+            step_number: state.step,
             experts: experts.to_vec(),
         }),
         Reply::Staged(map) => MapReply::Staged(map.into()),
@@ -107,12 +107,12 @@
     let reply = match reply {
         MapReply::Silent => return None,
         MapReply::Joined(joined) => {
-            let standing = Standing {
+            let state = RankState {
                 current: MapId::from(&joined.current),
                 armed: joined.armed.as_ref().map(Armed::from),
                 step: joined.step_number,
             };
-            Reply::Joined(Ballot::from(&joined.ballot), standing)
+            Reply::Joined(Ballot::from(&joined.ballot), state)
         }
         MapReply::Staged(map) => Reply::Staged(map.into()),
         MapReply::NotStaged(map) => Reply::NotStaged(map.into()),
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -7,7 +7,7 @@
 //! - [`Layout`]: one layer's map, and the loads that it makes.
 //! - [`plan`]: the few moves that are worth their cost.
 //! - [`baseline`]: what it is measured against: the layout left alone, and packed anew each time.
-//! - [`bound`]: what no layout can be better than.
+//! - [`min_skew`]: what no layout can be better than.
 
 pub mod baseline;
 mod layout;
@@ -22,7 +22,7 @@
 
 /// The least load that the slowest rank can have, over the mean load: an expert with `r` replicas
 /// puts at least its tokens over `r` on some rank, and there are only so many slots.
-pub fn bound(shares: &[f64], ranks: usize, slots_per_rank: usize) -> f64 {
+pub fn min_skew(shares: &[f64], ranks: usize, slots_per_rank: usize) -> f64 {
     let replicas = baseline::replicas(shares, ranks, slots_per_rank);
     let mean = shares.iter().sum::<f64>() / ranks as f64;
     let hottest = shares
--- a/crates/core/src/placement/baseline.rs
+++ b/crates/core/src/placement/baseline.rs
@@ -30,7 +30,7 @@
 ///
 /// # Panics
 ///
-/// As [`Layout::even`].
+/// As [`Layout::round_robin`].
 pub fn pack(shares: &[f64], ranks: usize, slots_per_rank: usize) -> Layout {
     let counts = replicas(shares, ranks, slots_per_rank);
     let mut items: Vec<(Ordered, usize)> = Vec::with_capacity(ranks * slots_per_rank);
--- a/crates/core/src/placement/layout.rs
+++ b/crates/core/src/placement/layout.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Rank(pub u16);
 
-/// Weights of `expert` are loaded into a slot of `rank`, in place of `instead_of`.
+/// Weights of `expert` are loaded into a slot of `rank`, in place of `replaced`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Move {
     /// Where.
@@ -18,7 +18,7 @@
     /// What is loaded.
     pub expert: Expert,
     /// What was there.
-    pub instead_of: Expert,
+    pub replaced: Expert,
 }
 
 /// Experts in slots. Every expert stands somewhere, and never twice on one rank.
@@ -30,7 +30,7 @@
     /// The ranks that each expert stands on, in no order.
     holders: Vec<Vec<Rank>>,
     /// Whether an expert stands on a rank, by expert and then rank.
-    stands: Vec<bool>,
+    has_replica: Vec<bool>,
 }
 
 impl Layout {
@@ -39,7 +39,7 @@
     /// # Panics
     ///
     /// If there are fewer slots than experts, or more slots on a rank than experts.
-    pub fn even(experts: usize, ranks: usize, slots_per_rank: usize) -> Layout {
+    pub fn round_robin(experts: usize, ranks: usize, slots_per_rank: usize) -> Layout {
         assert!(ranks * slots_per_rank >= experts, "too few slots for {experts} experts");
         assert!(slots_per_rank <= experts, "more slots on a rank than experts");
         let mut columns: Vec<Vec<Expert>> = vec![Vec::new(); ranks];
@@ -65,14 +65,14 @@
             slots_per_rank,
             slots: Vec::with_capacity(ranks * slots_per_rank),
             holders: vec![Vec::new(); experts],
-            stands: vec![false; experts * ranks],
+            has_replica: vec![false; experts * ranks],
         };
         for (rank, column) in columns.iter().enumerate() {
             assert_eq!(column.len(), slots_per_rank, "every rank has the same slots");
             for expert in column {
                 let place = usize::from(expert.0) * ranks + rank;
-                assert!(!layout.stands[place], "{expert:?} stands twice on rank {rank}");
-                layout.stands[place] = true;
+                assert!(!layout.has_replica[place], "{expert:?} stands twice on rank {rank}");
+                layout.has_replica[place] = true;
                 layout.holders[usize::from(expert.0)].push(Rank(rank as u16));
                 layout.slots.push(*expert);
             }
@@ -109,8 +109,8 @@
     }
 
     /// Whether an expert stands on a rank.
-    pub fn stands(&self, expert: Expert, rank: Rank) -> bool {
-        self.stands[usize::from(expert.0) * self.ranks + usize::from(rank.0)]
+    pub fn has_replica(&self, expert: Expert, rank: Rank) -> bool {
+        self.has_replica[usize::from(expert.0) * self.ranks + usize::from(rank.0)]
     }
 
     /// The ranks that an expert stands on.
@@ -126,11 +126,11 @@
     /// between ranks are [`Layout::swap`].
     pub fn load(&mut self, rank: Rank, slot: usize, expert: Expert) -> Move {
         let place = usize::from(rank.0) * self.slots_per_rank + slot;
-        let instead_of = self.slots[place];
-        assert!(self.replicas(instead_of) > 1, "{instead_of:?} would stand nowhere");
-        assert!(!self.stands(expert, rank), "{expert:?} stands on {rank:?} already");
+        let replaced = self.slots[place];
+        assert!(self.replicas(replaced) > 1, "{replaced:?} would stand nowhere");
+        assert!(!self.has_replica(expert, rank), "{expert:?} stands on {rank:?} already");
         self.set(place, rank, expert);
-        Move { rank, slot, expert, instead_of }
+        Move { rank, slot, expert, replaced }
     }
 
     /// Exchanges what stands in two slots of two ranks.
@@ -142,19 +142,22 @@
         let place = |(rank, slot): (Rank, usize)| usize::from(rank.0) * self.slots_per_rank + slot;
         let (place_a, place_b) = (place(a), place(b));
         let (expert_a, expert_b) = (self.slots[place_a], self.slots[place_b]);
-        assert!(!self.stands(expert_a, b.0) && !self.stands(expert_b, a.0), "stands there already");
+        assert!(
+            !self.has_replica(expert_a, b.0) && !self.has_replica(expert_b, a.0),
+            "stands there already"
+        );
         self.set(place_a, a.0, expert_b);
         self.set(place_b, b.0, expert_a);
         [
-            Move { rank: a.0, slot: a.1, expert: expert_b, instead_of: expert_a },
-            Move { rank: b.0, slot: b.1, expert: expert_a, instead_of: expert_b },
+            Move { rank: a.0, slot: a.1, expert: expert_b, replaced: expert_a },
+            Move { rank: b.0, slot: b.1, expert: expert_a, replaced: expert_b },
         ]
     }
 
     /// Weights that have to be loaded to get from this layout to `other`: what stands on a rank
     /// there and not here.
-    pub fn loads_to(&self, other: &Layout) -> usize {
-        let here = self.stands.iter().zip(&other.stands);
+    pub fn weight_loads_to(&self, other: &Layout) -> usize {
+        let here = self.has_replica.iter().zip(&other.has_replica);
         here.filter(|(here, there)| **there && !**here).count()
     }
 
@@ -181,9 +184,9 @@
 
     fn set(&mut self, place: usize, rank: Rank, expert: Expert) {
         let old = self.slots[place];
-        self.stands[usize::from(old.0) * self.ranks + usize::from(rank.0)] = false;
+        self.has_replica[usize::from(old.0) * self.ranks + usize::from(rank.0)] = false;
         self.holders[usize::from(old.0)].retain(|holder| *holder != rank);
-        self.stands[usize::from(expert.0) * self.ranks + usize::from(rank.0)] = true;
+        self.has_replica[usize::from(expert.0) * self.ranks + usize::from(rank.0)] = true;
         self.holders[usize::from(expert.0)].push(rank);
         self.slots[place] = expert;
     }
--- a/crates/core/src/placement/search.rs
+++ b/crates/core/src/placement/search.rs
@@ -27,7 +27,7 @@
     /// Step time lost to loading one expert's weights, in milliseconds.
     pub load_ms: f64,
     /// Most loads in one plan: what the weight store's rate allows.
-    pub most_loads: usize,
+    pub max_loads: usize,
 }
 
 /// Plans changes of one group's layouts, layer by layer; keeps its memory between plans.
@@ -68,7 +68,7 @@
 }
 
 impl Best {
-    fn offer(&mut self, change: Change, gain: f64) {
+    fn consider(&mut self, change: Change, gain: f64) {
         let gain = gain / change.loads() as f64;
         if gain > self.gain {
             *self = Best { change: Some(change), gain };
@@ -114,7 +114,7 @@
         let (mut best_net, mut best_len, mut loads) = (0.0, 0, 0);
         let price = self.price(lasts_ms) * mean;
         let mut fruitless = 0;
-        while loads < self.config.most_loads {
+        while loads < self.config.max_loads {
             let change = match self.improve(&tried, shares, speeds, mean) {
                 Some(change) => change,
                 None if fruitless >= MOST_FRUITLESS => break,
@@ -229,10 +229,12 @@
                 }
                 let after = (top - moved / speed_hot).max(load_other + moved / speed_other);
                 let gain = (top - after) / 2.0;
-                if gain > best.gain && !layout.stands(*mine, other) && !layout.stands(*theirs, hot)
+                if gain > best.gain
+                    && !layout.has_replica(*mine, other)
+                    && !layout.has_replica(*theirs, hot)
                 {
                     let change = Change::Swap { a: (hot, slot_hot), b: (other, slot_other) };
-                    best.offer(change, top - after);
+                    best.consider(change, top - after);
                 }
             }
         }
@@ -252,7 +254,7 @@
             if !self.may_give_up(layout, *given_up) {
                 continue;
             }
-            let more = match layout.stands(*given_up, hot) {
+            let more = match layout.has_replica(*given_up, hot) {
                 true => self.more_without_one(layout, shares, *given_up),
                 false => 0.0,
             };
@@ -261,7 +263,7 @@
                 continue;
             }
             for expert in layout.on(hot) {
-                if layout.stands(*expert, other) {
+                if layout.has_replica(*expert, other) {
                     continue;
                 }
                 let share = shares[usize::from(expert.0)];
@@ -277,7 +279,7 @@
                 if top - after <= best.gain {
                     continue;
                 }
-                best.offer(
+                best.consider(
                     Change::Load { at: (other, slot), expert: *expert },
                     top - after.max(rest),
                 );
@@ -304,13 +306,13 @@
             }
             for (index, share) in shares.iter().enumerate() {
                 let expert = Expert(index as u16);
-                if layout.stands(expert, hot) {
+                if layout.has_replica(expert, hot) {
                     continue;
                 }
                 let new_each = share / f64::from(layout.replicas(expert) + 1);
                 let change = new_each - self.each_of(*given_up);
                 let hot_after = top + change / speed(speeds, hot);
-                best.offer(Change::Load { at: (hot, slot), expert }, top - hot_after.max(rest));
+                best.consider(Change::Load { at: (hot, slot), expert }, top - hot_after.max(rest));
             }
         }
     }
@@ -332,7 +334,9 @@
         };
         let spare = experts()
             .filter(|expert| *expert != hottest && self.may_give_up(layout, *expert))
-            .filter(|expert| layout.ranks_of(*expert).any(|rank| !layout.stands(hottest, rank)))
+            .filter(|expert| {
+                layout.ranks_of(*expert).any(|rank| !layout.has_replica(hottest, rank))
+            })
             .min_by(|a, b| spared(a).total_cmp(&spared(b)))?;
         if spared(&spare) >= self.each_of(hottest) {
             return None;
@@ -343,7 +347,7 @@
         };
         let rank = layout
             .ranks_of(spare)
-            .filter(|rank| !layout.stands(hottest, *rank))
+            .filter(|rank| !layout.has_replica(hottest, *rank))
             .min_by(|a, b| after(a).total_cmp(&after(b)))?;
         let slot = layout.on(rank).iter().position(|expert| *expert == spare)?;
         Some((Change::Load { at: (rank, slot), expert: hottest }, hottest))
@@ -388,11 +392,11 @@
             }
             Change::Load { at: (rank, slot), expert } => {
                 let done = layout.load(rank, slot, expert);
-                for changed in [done.expert, done.instead_of] {
+                for changed in [done.expert, done.replaced] {
                     self.each[usize::from(changed.0)] = layout.each(shares, changed);
                 }
                 self.loads[usize::from(rank.0)] = self.load_of(layout, rank, speeds);
-                for changed in [done.expert, done.instead_of] {
+                for changed in [done.expert, done.replaced] {
                     for other in layout.ranks_of(changed) {
                         self.loads[usize::from(other.0)] = self.load_of(layout, other, speeds);
                     }
@@ -419,7 +423,7 @@
             Change::Load { at: (rank, slot), expert } => note(layout.load(rank, slot, expert)),
         }
     }
-    moves.retain(|done| done.expert != done.instead_of);
+    moves.retain(|done| done.expert != done.replaced);
     moves
 }
 
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Longest average, in counts.
-    pub most_counts: f64,
+    pub max_counts: f64,
     /// Deviation from the average, in standard deviations, that one count has to show.
     pub jump_sigmas: f64,
     /// Deviation that two counts in a row have to show, in the same direction.
@@ -18,20 +18,20 @@
     /// Change from one count to the next, in standard deviations, below which a change is over.
     pub settled_sigmas: f64,
     /// How far ahead of its counts a change is followed: they come late.
-    pub lead_counts: f64,
+    pub lookahead_counts: f64,
     /// Relative noise of counts beyond that of independent tokens.
-    pub extra_noise: f64,
+    pub extra_relative_noise: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            most_counts: 40.0,
+            max_counts: 40.0,
             jump_sigmas: 4.0,
             drift_sigmas: 2.0,
             settled_sigmas: 1.5,
-            lead_counts: 1.0,
-            extra_noise: 0.02,
+            lookahead_counts: 1.0,
+            extra_relative_noise: 0.02,
         }
     }
 }
@@ -78,7 +78,7 @@
 
     /// For how many counts the shares have been the same, weighed by share. What has lasted for some
     /// time can be expected to last for about as long again.
-    pub fn lasted_counts(&self) -> f64 {
+    pub fn stable_counts(&self) -> f64 {
         let weighed = self.experts.iter().zip(&self.shares);
         weighed.map(|(expert, share)| expert.age * share).sum()
     }
@@ -109,14 +109,14 @@
     fn observe(&mut self, config: &Config, share: f64, total: f64) {
         self.age += 1.0;
         if self.counts == 0.0 {
-            self.start_over(share, 1.0);
+            self.restart_average(share, 1.0);
         } else if self.moving {
             self.follow(config, share, total);
         } else {
             self.average(config, share, total);
         }
         self.last_share = share;
-        self.share = (self.level + config.lead_counts * self.slope).max(0.0);
+        self.share = (self.level + config.lookahead_counts * self.slope).max(0.0);
     }
 
     /// The share has been the same so far.
@@ -129,10 +129,10 @@
             && self.last_sigmas.abs() > config.drift_sigmas
             && sigmas.signum() == self.last_sigmas.signum();
         if jumped || drifted {
-            self.start_over(share, 1.0);
+            self.restart_average(share, 1.0);
             self.moving = true;
         } else {
-            self.counts = (self.counts + 1.0).min(config.most_counts);
+            self.counts = (self.counts + 1.0).min(config.max_counts);
             self.level += (share - self.level) / self.counts;
             self.last_sigmas = sigmas;
         }
@@ -143,7 +143,7 @@
         let step = share - self.last_share;
         let noise = (2.0 * variance(config, share.max(self.last_share), total)).sqrt();
         if step.abs() < config.settled_sigmas * noise {
-            self.start_over((share + self.last_share) / 2.0, 2.0);
+            self.restart_average((share + self.last_share) / 2.0, 2.0);
             return;
         }
         self.level = share;
@@ -151,7 +151,7 @@
         self.age = 1.0;
     }
 
-    fn start_over(&mut self, level: f64, counts: f64) {
+    fn restart_average(&mut self, level: f64, counts: f64) {
         *self = Expert { level, counts, age: counts, ..Expert::default() };
     }
 }
@@ -159,5 +159,5 @@
 /// Variance of one count, as a share: that of independent tokens, and what comes on top of it.
 fn variance(config: &Config, share: f64, total: f64) -> f64 {
     let tokens = share * total;
-    (tokens.max(1.0) + (config.extra_noise * tokens).powi(2)) / (total * total)
+    (tokens.max(1.0) + (config.extra_relative_noise * tokens).powi(2)) / (total * total)
 }
--- a/crates/core/src/once.rs
+++ b/crates/core/src/ticket_memory.rs
@@ -21,16 +21,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// How long a ticket is remembered, from its issue.
-    pub remember: Millis,
+    pub retention: Millis,
     /// Most tickets remembered at once.
-    pub most_tickets: usize,
+    pub max_tickets: usize,
 }
 
 /// What became of a ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
+enum TicketState {
     /// Its request was taken, and may have run.
-    Taken,
+    Accepted,
     /// Its request was refused before it ran, and never will run.
     Spent,
 }
@@ -40,24 +40,24 @@
 pub struct TicketMemory {
     config: Config,
     incarnation: u64,
-    fates: HashMap<u64, Fate>,
+    states: HashMap<u64, TicketState>,
     by_age: VecDeque<(Millis, u64)>,
 }
 
 impl TicketMemory {
     /// The empty memory of a new incarnation.
     pub fn new(config: Config, incarnation: u64) -> TicketMemory {
-        TicketMemory { config, incarnation, fates: HashMap::new(), by_age: VecDeque::new() }
+        TicketMemory { config, incarnation, states: HashMap::new(), by_age: VecDeque::new() }
     }
 
     /// How many tickets are remembered.
     pub fn len(&self) -> usize {
-        self.fates.len()
+        self.states.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.fates.is_empty()
+        self.states.is_empty()
     }
 
     /// Takes a ticket, if its request may run now.
@@ -65,25 +65,25 @@
     /// # Errors
     ///
     /// The refusal to send; nothing ran because of this call.
-    pub fn take(&mut self, now: Millis, ticket: &Ticket) -> Result<(), Refusal> {
-        self.forget(now);
+    pub fn accept(&mut self, now: Millis, ticket: &Ticket) -> Result<(), Refusal> {
+        self.evict_expired(now);
         if ticket.incarnation != self.incarnation {
             return Err(Refusal::may_have_run(Cause::OtherIncarnation));
         }
-        match self.fates.get(&ticket.nonce) {
-            Some(Fate::Taken) => return Err(Refusal::may_have_run(Cause::AlreadySeen)),
-            Some(Fate::Spent) => return Err(Refusal::not_run(Cause::Revoked)),
+        match self.states.get(&ticket.nonce) {
+            Some(TicketState::Accepted) => return Err(Refusal::may_have_run(Cause::AlreadySeen)),
+            Some(TicketState::Spent) => return Err(Refusal::not_run(Cause::Revoked)),
             None => {}
         }
-        if now.since(Millis(ticket.issued_at_ms)) >= self.config.remember {
+        if now.since(Millis(ticket.issued_at_ms)) >= self.config.retention {
             return Err(Refusal::may_have_run(Cause::TicketExpired));
         }
-        if self.fates.len() >= self.config.most_tickets {
+        if self.states.len() >= self.config.max_tickets {
             let oldest = self.by_age.front().map_or(now, |(seen, _)| *seen);
-            let wait = (oldest + self.config.remember).since(now);
+            let wait = (oldest + self.config.retention).since(now);
             return Err(Refusal::not_run(Cause::QueueFull).retry_after(wait));
         }
-        self.remember(now, ticket.nonce, Fate::Taken);
+        self.record(now, ticket.nonce, TicketState::Accepted);
         Ok(())
     }
 
@@ -93,31 +93,31 @@
         if ticket.incarnation != self.incarnation {
             return;
         }
-        match self.fates.get_mut(&ticket.nonce) {
-            Some(fate) => *fate = Fate::Spent,
-            None => self.remember(now, ticket.nonce, Fate::Spent),
+        match self.states.get_mut(&ticket.nonce) {
+            Some(state) => *state = TicketState::Spent,
+            None => self.record(now, ticket.nonce, TicketState::Spent),
         }
     }
 
     /// Whether a request with this ticket was taken, and not given back.
-    pub fn is_taken(&self, ticket: &Ticket) -> bool {
-        self.fates.get(&ticket.nonce) == Some(&Fate::Taken)
+    pub fn is_accepted(&self, ticket: &Ticket) -> bool {
+        self.states.get(&ticket.nonce) == Some(&TicketState::Accepted)
     }
 
-    fn remember(&mut self, now: Millis, nonce: u64, fate: Fate) {
-        self.fates.insert(nonce, fate);
+    fn record(&mut self, now: Millis, nonce: u64, state: TicketState) {
+        self.states.insert(nonce, state);
         self.by_age.push_back((now, nonce));
     }
 
     /// A ticket is kept for `remember` after it was *seen*, which is no earlier than its issue:
     /// when it is forgotten, its age alone refuses it.
-    fn forget(&mut self, now: Millis) {
+    fn evict_expired(&mut self, now: Millis) {
         while let Some((seen, nonce)) = self.by_age.front().copied() {
-            if now.since(seen) < self.config.remember {
+            if now.since(seen) < self.config.retention {
                 return;
             }
             self.by_age.pop_front();
-            self.fates.remove(&nonce);
+            self.states.remove(&nonce);
         }
     }
 }
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -5,7 +5,7 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::lease::Lease;
 use hooktrestle_core::lease::Next;
-use hooktrestle_core::lease::Seen;
+use hooktrestle_core::lease::ObservedLease;
 use proptest::prelude::any;
 use proptest::prop_assert;
 use proptest::proptest;
@@ -14,7 +14,7 @@
 /// The table's row, with its conditional write.
 #[derive(Default)]
 struct Table {
-    row: Option<Seen>,
+    row: Option<ObservedLease>,
     version: u64,
 }
 
@@ -25,13 +25,13 @@
             return false;
         }
         self.version += 1;
-        self.row = Some(Seen { version: self.version, holder: holder.to_owned(), epoch });
+        self.row = Some(ObservedLease { version: self.version, holder: holder.to_owned(), epoch });
         true
     }
 }
 
 fn turn(lease: &mut Lease, name: &str, table: &mut Table, now: Millis) -> bool {
-    match lease.look(now, table.row.as_ref()) {
+    match lease.observe_row(now, table.row.as_ref()) {
         Next::Write { if_version, epoch } if table.write(if_version, name, epoch) => {
             lease.wrote(now, epoch);
             true
@@ -77,7 +77,7 @@
             let now = clocks[who];
             let (if_version, epoch, began) = match paused[who].take() {
                 Some(write) => write,
-                None => match leases[who].look(now, table.row.as_ref()) {
+                None => match leases[who].observe_row(now, table.row.as_ref()) {
                     Next::Write { if_version, epoch } => (if_version, epoch, now),
                     Next::Wait => continue,
                 },
--- a/crates/core/tests/model/mod.rs
+++ b/crates/core/tests/model/mod.rs
@@ -17,11 +17,11 @@
 use hooktrestle_core::map_switch::Leader;
 use hooktrestle_core::map_switch::MapId;
 use hooktrestle_core::map_switch::Order;
+use hooktrestle_core::map_switch::OrderAction;
 use hooktrestle_core::map_switch::OrderKind;
 use hooktrestle_core::map_switch::Progress;
 use hooktrestle_core::map_switch::Rank;
 use hooktrestle_core::map_switch::Reply;
-use hooktrestle_core::map_switch::Staging;
 
 /// A message on the network.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -41,7 +41,7 @@
     Repeat(usize),
     Loaded {
         rank: usize,
-        whole: bool,
+        succeeded: bool,
     },
     Step(usize),
     Restart(usize),
@@ -88,7 +88,7 @@
     pub ranks: Vec<Rank>,
     pub loading: Vec<Option<MapId>>,
     pub leaders: Vec<Leader>,
-    given_out: u64,
+    max_granted: u64,
     messages: Vec<Message>,
     used: BTreeMap<u64, MapId>,
     proposals_left: usize,
@@ -110,7 +110,7 @@
             ranks: vec![Rank::new(MapId::default()); setup.ranks],
             loading: vec![None; setup.ranks],
             leaders: Vec::new(),
-            given_out: 0,
+            max_granted: 0,
             messages: Vec::new(),
             used: BTreeMap::new(),
             proposals_left: setup.proposals,
@@ -139,16 +139,16 @@
                 actions.push(Action::Repeat(index));
             }
         }
-        let slowest = self.ranks.iter().map(|rank| rank.standing().step).min().unwrap_or(0);
+        let slowest = self.ranks.iter().map(|rank| rank.state().step).min().unwrap_or(0);
         for (index, rank) in self.ranks.iter().enumerate() {
-            let step = rank.standing().step;
+            let step = rank.state().step;
             let held = rank.gate() == Gate::Hold && setup.broken != Broken::IgnoresHold;
             if step == slowest && step < setup.last_step && !held {
                 actions.push(Action::Step(index));
             }
             if self.loading[index].is_some() {
-                actions.push(Action::Loaded { rank: index, whole: true });
-                actions.push(Action::Loaded { rank: index, whole: false });
+                actions.push(Action::Loaded { rank: index, succeeded: true });
+                actions.push(Action::Loaded { rank: index, succeeded: false });
             }
             if self.restarts_left > 0 {
                 actions.push(Action::Restart(index));
@@ -160,7 +160,7 @@
                 actions.push(Action::LeadWithoutStore(index));
             }
         }
-        if self.given_out < setup.leases {
+        if self.max_granted < setup.leases {
             actions.push(Action::NewLease);
         }
         actions
@@ -192,16 +192,16 @@
                 self.post_orders(index);
             }
             Action::GiveUp(index) => {
-                self.leaders[index].give_up();
+                self.leaders[index].abort_staging();
                 self.post_orders(index);
             }
             Action::Repeat(index) => {
                 self.repeats_left -= 1;
                 self.post_orders(index);
             }
-            Action::Loaded { rank, whole } => {
+            Action::Loaded { rank, succeeded } => {
                 if let Some(map) = self.loading[rank].take()
-                    && let Some(reply) = self.ranks[rank].loaded(map, whole)
+                    && let Some(reply) = self.ranks[rank].loaded(map, succeeded)
                 {
                     self.answer(setup, map.ballot, rank, reply);
                 }
@@ -211,13 +211,13 @@
             Action::Learn(rank) => {
                 let number = match setup.broken {
                     Broken::GuessesFence => 0,
-                    _ => self.given_out,
+                    _ => self.max_granted,
                 };
-                self.ranks[rank].learn(Ballot { number, proposer: 0 });
+                self.ranks[rank].restore_fence(Ballot { number, proposer: 0 });
             }
             Action::NewLease => {
-                self.given_out += 1;
-                self.lead(Ballot { number: self.given_out, proposer: 0 });
+                self.max_granted += 1;
+                self.lead(Ballot { number: self.max_granted, proposer: 0 });
             }
             Action::LeadWithoutStore(rank) => {
                 self.storeless_left -= 1;
@@ -236,12 +236,12 @@
 
     fn deliver_order(&mut self, rank: usize, order: Order) -> Option<Reply> {
         match self.ranks[rank].order(order) {
-            Staging::Answer(reply) => Some(reply),
-            Staging::Load(map) => {
+            OrderAction::Answer(reply) => Some(reply),
+            OrderAction::Load(map) => {
                 self.loading[rank] = Some(map);
                 None
             }
-            Staging::Silent => None,
+            OrderAction::Silent => None,
         }
     }
 
@@ -272,14 +272,14 @@
     }
 
     fn step(&mut self, setup: &Setup, rank: usize) -> Result<(), Split> {
-        let step = self.ranks[rank].standing().step;
+        let step = self.ranks[rank].state().step;
         let ignores = setup.broken == Broken::IgnoresHold;
         if ignores && self.ranks[rank].gate() == Gate::Hold {
-            let map = self.ranks[rank].standing().armed.expect("held").map;
+            let map = self.ranks[rank].state().armed.expect("held").map;
             let ballot = self.ranks[rank].promised().unwrap_or_default();
             self.ranks[rank].order(Order { ballot, kind: OrderKind::Abort { map } });
         }
-        let map = self.ranks[rank].stepped();
+        let map = self.ranks[rank].begin_step();
         let used = *self.used.entry(step).or_insert(map);
         if used == map { Ok(()) } else { Err(Split { step, maps: [used, map] }) }
     }
@@ -289,10 +289,10 @@
         self.loading[rank] = None;
         if setup.keeps_fence {
             let promised = self.ranks[rank].promised().unwrap_or_default();
-            self.ranks[rank].forget();
-            self.ranks[rank].learn(promised);
+            self.ranks[rank].lose_fence();
+            self.ranks[rank].restore_fence(promised);
         } else {
-            self.ranks[rank].forget();
+            self.ranks[rank].lose_fence();
         }
     }
 
@@ -317,12 +317,12 @@
     pub fn recovers(&self, setup: &Setup) -> bool {
         let mut world = self.clone();
         world.messages.clear();
-        world.given_out += 10;
+        world.max_granted += 10;
         for rank in 0..world.ranks.len() {
-            let fence = Ballot { number: world.given_out, proposer: 0 };
-            world.ranks[rank].learn(fence);
+            let fence = Ballot { number: world.max_granted, proposer: 0 };
+            world.ranks[rank].restore_fence(fence);
         }
-        world.lead(Ballot { number: world.given_out, proposer: 0 });
+        world.lead(Ballot { number: world.max_granted, proposer: 0 });
         let last = world.leaders.len() - 1;
         while let Some(message) = (!world.messages.is_empty()).then(|| world.messages.remove(0)) {
             if world.apply(setup, Action::Deliver(message)).is_err() {
@@ -367,7 +367,7 @@
             if !seen.insert(digest(&next)) {
                 continue;
             }
-            switched |= next.ranks.iter().all(|rank| rank.standing().current.version > 0);
+            switched |= next.ranks.iter().all(|rank| rank.state().current.version > 0);
             if setup.broken == Broken::Nothing && !next.recovers(setup) {
                 let path = path(&parents, index, action);
                 return Walk { states: seen.len(), split: None, stuck: Some(path), switched };
--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/named_limit.rs
@@ -17,12 +17,12 @@
 use hooktrestle_core::dispatch;
 use hooktrestle_core::dispatch::Arrival;
 use hooktrestle_core::dispatch::Dispatcher;
-use hooktrestle_core::dispatch::Linking;
+use hooktrestle_core::dispatch::LinkOutcome;
 use hooktrestle_core::dispatch::Next;
-use hooktrestle_core::dispatch::Offer;
+use hooktrestle_core::dispatch::RequestSpec;
 use hooktrestle_core::fair_queue::FlowId;
 use hooktrestle_core::id::RequestId;
-use hooktrestle_core::once;
+use hooktrestle_core::ticket_memory;
 use permit_fleet::Fleet;
 use permit_fleet::Kept;
 use permit_fleet::Play;
@@ -171,18 +171,18 @@
 /// when each was started, and how many were refused at once.
 fn paced(in_1000_s: u64, every_ms: u64, deadline: Millis) -> (Vec<u64>, usize) {
     let config = dispatch::Config {
-        most_running: 100,
-        most_queued: 100,
-        tickets: once::Config { remember: Millis(1_000), most_tickets: 1 },
-        remember_gateway: Millis(1_000),
+        max_running: 100,
+        max_queued: 100,
+        tickets: ticket_memory::Config { retention: Millis(1_000), max_tickets: 1 },
+        gateway_retention: Millis(1_000),
     };
     let mut sidecar = Dispatcher::new(config, 1);
-    let Linking::Open(link, _) = sidecar.link(Millis(0), 1, 1, 1) else { panic!("it opens") };
-    sidecar.hear_limit(said(Some(in_1000_s), 0, 0));
+    let LinkOutcome::Open(link, _) = sidecar.link(Millis(0), 1, 1, 1) else { panic!("it opens") };
+    sidecar.apply_limit(said(Some(in_1000_s), 0, 0));
     let (mut started, mut refused) = (Vec::new(), 0);
     for now in 0..60_000 {
         if now % every_ms == 0 {
-            let offer = Offer {
+            let offer = RequestSpec {
                 flow: FlowId(1),
                 weight: 1,
                 cost_tokens: 1,
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -8,7 +8,7 @@
 use hooktrestle_core::placement::Planner;
 use hooktrestle_core::placement::Rank;
 use hooktrestle_core::placement::baseline;
-use hooktrestle_core::placement::bound;
+use hooktrestle_core::placement::min_skew;
 use hooktrestle_core::popularity;
 use hooktrestle_core::popularity::Popularity;
 use proptest::prelude::Strategy;
@@ -20,7 +20,7 @@
 const LASTS_MS: f64 = 600_000.0;
 
 fn config(weight_rebalance: f64) -> Config {
-    Config { weight_skew: 1.0, weight_rebalance, load_ms: 20.0, most_loads: 64 }
+    Config { weight_skew: 1.0, weight_rebalance, load_ms: 20.0, max_loads: 64 }
 }
 
 /// A group: experts' shares, ranks, slots of each.
@@ -71,21 +71,21 @@
 
     #[test]
     fn a_plan_keeps_every_expert_and_is_never_worse((shares, ranks, slots) in group()) {
-        let before = Layout::even(shares.len(), ranks, slots);
+        let before = Layout::round_robin(shares.len(), ranks, slots);
         let mut layout = before.clone();
         let moves = Planner::new(config(1.0)).plan(&mut layout, &shares, &[], LASTS_MS);
         prop_assert!(layout.skew(&shares) <= before.skew(&shares) + 1e-9);
-        prop_assert!(layout.skew(&shares) >= bound(&shares, ranks, slots) - 1e-9);
+        prop_assert!(layout.skew(&shares) >= min_skew(&shares, ranks, slots) - 1e-9);
         for expert in (0..shares.len()).map(|index| Expert(index as u16)) {
             prop_assert!(layout.replicas(expert) > 0);
         }
         let columns: Vec<Vec<Expert>> =
             (0..ranks).map(|rank| layout.on(Rank(rank as u16)).to_vec()).collect();
         prop_assert_eq!(Layout::from_ranks(shares.len(), &columns).loads(&shares).len(), ranks);
-        prop_assert!(before.loads_to(&layout) <= moves.len());
+        prop_assert!(before.weight_loads_to(&layout) <= moves.len());
         for done in &moves {
             prop_assert_eq!(layout.on(done.rank)[done.slot], done.expert);
-            prop_assert_eq!(before.on(done.rank)[done.slot], done.instead_of);
+            prop_assert_eq!(before.on(done.rank)[done.slot], done.replaced);
         }
     }
 
@@ -103,8 +103,8 @@
     ) {
         let slots = shares.len().div_ceil(2) + 1;
         let best = best_of_all(&shares, slots);
-        prop_assert!(best >= bound(&shares, 2, slots) - 1e-9);
-        let mut layout = Layout::even(shares.len(), 2, slots);
+        prop_assert!(best >= min_skew(&shares, 2, slots) - 1e-9);
+        let mut layout = Layout::round_robin(shares.len(), 2, slots);
         let mut planner = Planner::new(config(0.0));
         planner.plan(&mut layout, &shares, &[], LASTS_MS);
         let skew = layout.skew(&shares);
@@ -130,13 +130,13 @@
     assert!((popularity.shares()[3] - 1.0 / 64.0).abs() < 1e-6);
     popularity.observe(&counts(&[3, 4], 0.0));
     assert!((popularity.shares()[3] - 5.0 / 72.0).abs() < 1e-3, "{}", popularity.shares()[3]);
-    assert!(popularity.lasted_counts() < 60.0);
+    assert!(popularity.stable_counts() < 60.0);
 }
 
 #[test]
 fn noise_moves_nothing_where_moves_are_dear() {
     let mut popularity = Popularity::new(popularity::Config::default(), 64);
-    let mut layout = Layout::even(64, 16, 5);
+    let mut layout = Layout::round_robin(64, 16, 5);
     let mut planner = Planner::new(config(96.0));
     let mut late_moves = 0;
     for tick in 0..200_usize {
@@ -166,7 +166,7 @@
 #[test]
 fn a_rank_that_is_slow_for_other_reasons_gets_less() {
     let shares = vec![1.0; 64];
-    let mut layout = Layout::even(64, 16, 5);
+    let mut layout = Layout::round_robin(64, 16, 5);
     let mut speeds = vec![1.0; 16];
     speeds[2] = 0.5;
     Planner::new(config(0.1)).plan(&mut layout, &shares, &speeds, LASTS_MS);
@@ -178,7 +178,7 @@
 #[test]
 fn moves_that_cost_more_than_they_save_are_not_made() {
     let shares = counts(&[0, 1, 2], 0.0);
-    let mut layout = Layout::even(64, 16, 5);
+    let mut layout = Layout::round_robin(64, 16, 5);
     let before = layout.clone();
     assert!(Planner::new(config(1e9)).plan(&mut layout, &shares, &[], LASTS_MS).is_empty());
     assert_eq!(layout, before);
@@ -189,8 +189,8 @@
 #[test]
 fn a_plan_stays_within_the_loads_that_the_weight_store_allows() {
     let shares: Vec<f64> = (1..=64).map(|rank| 1.0 / f64::from(rank)).collect();
-    let mut layout = Layout::even(64, 16, 5);
-    let tight = Config { most_loads: 6, ..config(0.1) };
+    let mut layout = Layout::round_robin(64, 16, 5);
+    let tight = Config { max_loads: 6, ..config(0.1) };
     let moves = Planner::new(tight).plan(&mut layout, &shares, &[], LASTS_MS);
     assert!(!moves.is_empty() && moves.len() <= 7, "{}", moves.len());
 }
--- a/crates/core/tests/schedule/links.rs
+++ b/crates/core/tests/schedule/links.rs
@@ -4,8 +4,8 @@
 
 use hooktrestle_core::attempt::Next;
 use hooktrestle_core::dispatch::Arrival;
-use hooktrestle_core::dispatch::Cancelling;
-use hooktrestle_core::dispatch::Linking;
+use hooktrestle_core::dispatch::CancelOutcome;
+use hooktrestle_core::dispatch::LinkOutcome;
 
 use super::Down;
 use super::Flaw;
@@ -30,9 +30,9 @@
         let now = self.now;
         let dispatcher = &mut self.sidecars[sidecar].dispatcher;
         match up {
-            Up::Request { id, offer, call } => {
-                let ticket = offer.ticket.clone();
-                match dispatcher.request(now, link, id, offer) {
+            Up::Request { id, spec, call } => {
+                let ticket = spec.ticket.clone();
+                match dispatcher.request(now, link, id, spec) {
                     Arrival::Queued(key) => {
                         self.sidecars[sidecar].waiting.insert(key, (wire, call, ticket));
                     }
@@ -48,9 +48,9 @@
                 }
             }
             Up::Cancel(id) => match dispatcher.cancel(now, link, id) {
-                Cancelling::Abort(key) => self.abort(sidecar, key),
-                Cancelling::Removed(key) => drop(self.sidecars[sidecar].waiting.remove(&key)),
-                Cancelling::Unknown => {}
+                CancelOutcome::Abort(key) => self.abort(sidecar, key),
+                CancelOutcome::Removed(key) => drop(self.sidecars[sidecar].waiting.remove(&key)),
+                CancelOutcome::Unknown => {}
             },
             Up::Ack(id) => dispatcher.acknowledge(link, id),
         }
@@ -129,7 +129,7 @@
         let life = self.sidecars[sidecar].life;
         let now = self.now;
         let linking = self.sidecars[sidecar].dispatcher.link(now, gateway as u64, 7, epoch);
-        let Linking::Open(link, aborted) = linking else { return };
+        let LinkOutcome::Open(link, aborted) = linking else { return };
         for key in aborted {
             self.abort(sidecar, key);
         }
--- a/crates/core/tests/schedule/mod.rs
+++ b/crates/core/tests/schedule/mod.rs
@@ -9,18 +9,18 @@
 use hooktrestle_core::attempt;
 use hooktrestle_core::attempt::Attempts;
 use hooktrestle_core::attempt::Next;
-use hooktrestle_core::attempt::Repeat;
+use hooktrestle_core::attempt::RetryPolicy;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::dispatch;
 use hooktrestle_core::dispatch::Dispatcher;
 use hooktrestle_core::dispatch::Link;
-use hooktrestle_core::dispatch::Offer;
+use hooktrestle_core::dispatch::RequestSpec;
 use hooktrestle_core::dispatch::RunKey;
 use hooktrestle_core::fair_queue::FlowId;
 use hooktrestle_core::id::RequestId;
-use hooktrestle_core::once;
 use hooktrestle_core::retry;
 use hooktrestle_core::retry::RetryBudget;
+use hooktrestle_core::ticket_memory;
 use hooktrestle_core::verdict::Refusal;
 use hooktrestle_schema::Cause;
 use hooktrestle_schema::Ticket;
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 enum Up {
-    Request { id: RequestId, offer: Offer, call: usize },
+    Request { id: RequestId, spec: RequestSpec, call: usize },
     Settle { id: RequestId, ticket: Option<Ticket> },
     Cancel(RequestId),
     Ack(RequestId),
@@ -148,7 +148,7 @@
     sidecars: Vec<Sidecar>,
     wires: Vec<Wire>,
     pub calls: Vec<Call>,
-    pub jobs: Vec<Repeat>,
+    pub jobs: Vec<RetryPolicy>,
     tickets: Vec<Option<Ticket>>,
     budgets: Vec<RetryBudget>,
     nonce: u64,
@@ -156,10 +156,10 @@
 
 fn sidecar(life: u64, incarnation: u64) -> Sidecar {
     let config = dispatch::Config {
-        most_running: 2,
-        most_queued: 2,
-        tickets: once::Config { remember: REMEMBER, most_tickets: 6 },
-        remember_gateway: Millis(1_000),
+        max_running: 2,
+        max_queued: 2,
+        tickets: ticket_memory::Config { retention: REMEMBER, max_tickets: 6 },
+        gateway_retention: Millis(1_000),
     };
     let dispatcher = Dispatcher::new(config, incarnation);
     Sidecar { dispatcher, life, incarnation, waiting: BTreeMap::new(), running: Vec::new() }
@@ -198,8 +198,8 @@
             Event::SidecarNotices(index) => self.sidecar_notices(index),
             Event::Run { sidecar, pick, how } => self.run(sidecar % SIDECARS, pick, how),
             Event::RestartSidecar(index) => self.restart(index % SIDECARS),
-            Event::Leave(index) => self.leave(index % SIDECARS),
-            Event::Stay(index) => self.sidecars[index % SIDECARS].dispatcher.stay(),
+            Event::Leave(index) => self.start_leaving(index % SIDECARS),
+            Event::Stay(index) => self.sidecars[index % SIDECARS].dispatcher.stop_leaving(),
             Event::Pass(ms) => self.pass(u64::from(ms)),
             Event::Deadline { call } => self.deadline(call),
             Event::CallerGone { call } => self.caller_gone(call),
@@ -215,7 +215,7 @@
             {
                 return Err(format!("call {index} was told {refusal:?}, and ran"));
             }
-            if self.jobs[call.job] != Repeat::Freely && call.started > 1 {
+            if self.jobs[call.job] != RetryPolicy::Unrestricted && call.started > 1 {
                 return Err(format!("call {index} is not repeatable and ran {}x", call.started));
             }
             let frames: Vec<u64> = call.got.iter().map(|(_, sequence)| *sequence).collect();
@@ -229,10 +229,10 @@
                 return Err(format!("call {index} is told whole after {frames:?}"));
             }
         }
-        for (job, repeat) in self.jobs.iter().enumerate() {
+        for (job, retry_policy) in self.jobs.iter().enumerate() {
             let calls = self.calls.iter().filter(|call| call.job == job);
             let started: u32 = calls.map(|call| call.started).sum();
-            if *repeat == Repeat::Never && started > 1 {
+            if *retry_policy == RetryPolicy::Never && started > 1 {
                 return Err(format!("job {job} has one key and ran {started}x"));
             }
         }
@@ -240,16 +240,16 @@
     }
 
     fn call(&mut self, gateway: usize, kind: u8) {
-        let repeat = match kind % 3 {
-            0 => Repeat::Freely,
-            1 => Repeat::WithNewTicket,
-            _ => Repeat::Never,
+        let retry_policy = match kind % 3 {
+            0 => RetryPolicy::Unrestricted,
+            1 => RetryPolicy::WithNewTicket,
+            _ => RetryPolicy::Never,
         };
-        let own_ticket = match repeat {
-            Repeat::Never => Some(self.mint(usize::from(kind) % SIDECARS)),
+        let own_ticket = match retry_policy {
+            RetryPolicy::Never => Some(self.mint(usize::from(kind) % SIDECARS)),
             _ => None,
         };
-        self.jobs.push(repeat);
+        self.jobs.push(retry_policy);
         self.tickets.push(own_ticket);
         self.start(gateway, self.jobs.len() - 1);
     }
@@ -259,18 +259,18 @@
             return;
         }
         let job = job % self.jobs.len();
-        if self.jobs[job] == Repeat::Never {
+        if self.jobs[job] == RetryPolicy::Never {
             self.start(gateway, job);
         }
     }
 
     fn start(&mut self, gateway: usize, job: usize) {
-        let repeat = match self.flaw {
-            Flaw::RetriesAnyError => Repeat::Freely,
+        let retry_policy = match self.flaw {
+            Flaw::RetriesAnyError => RetryPolicy::Unrestricted,
             _ => self.jobs[job],
         };
         let number = self.calls.len() as u64;
-        let config = attempt::Config { number, repeat, most_attempts: 1 + number as u32 % 3 };
+        let config = attempt::Config { number, retry_policy, max_attempts: 1 + number as u32 % 3 };
         self.calls.push(Call {
             job,
             gateway,
@@ -338,19 +338,19 @@
         });
         let Some(wire) = chosen else {
             let refusal = match self.jobs[self.calls[call].job] {
-                Repeat::Never => Refusal::may_have_run(Cause::NoBackendServer),
-                _ => attempt::nowhere_to_go(Millis(1)),
+                RetryPolicy::Never => Refusal::may_have_run(Cause::NoBackendServer),
+                _ => attempt::no_backend_server(Millis(1)),
             };
             let next = self.calls[call].attempts.not_routed(refusal);
             return self.carry_out(call, next);
         };
         let sidecar = self.wires[wire].sidecar;
         let ticket = match self.jobs[self.calls[call].job] {
-            Repeat::Freely => None,
-            Repeat::WithNewTicket => Some(self.mint(sidecar)),
-            Repeat::Never => self.calls[call].own_ticket.clone(),
+            RetryPolicy::Unrestricted => None,
+            RetryPolicy::WithNewTicket => Some(self.mint(sidecar)),
+            RetryPolicy::Never => self.calls[call].own_ticket.clone(),
         };
-        let offer = Offer {
+        let spec = RequestSpec {
             flow: FlowId(self.calls[call].job as u64 % 3),
             weight: 1,
             cost_tokens: 1,
@@ -358,7 +358,7 @@
             deadline_in: Millis(300),
             ticket: ticket.clone(),
         };
-        self.wires[wire].up.push_back(Up::Request { id, offer, call });
+        self.wires[wire].up.push_back(Up::Request { id, spec, call });
         let call = &mut self.calls[call];
         call.tried.push(sidecar);
         call.wire = Some(wire);
@@ -452,9 +452,9 @@
         }
     }
 
-    fn leave(&mut self, sidecar: usize) {
+    fn start_leaving(&mut self, sidecar: usize) {
         let now = self.now;
-        for key in self.sidecars[sidecar].dispatcher.leave(now) {
+        for key in self.sidecars[sidecar].dispatcher.start_leaving(now) {
             self.refuse(sidecar, key, Refusal::not_run(Cause::Leaving));
         }
     }
@@ -462,7 +462,7 @@
     fn pass(&mut self, ms: u64) {
         self.now = self.now + Millis(ms);
         for sidecar in 0..SIDECARS {
-            self.sidecars[sidecar].dispatcher.forget_gone(self.now);
+            self.sidecars[sidecar].dispatcher.evict_unlinked(self.now);
             self.pump(sidecar);
         }
     }
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -11,8 +11,8 @@
 use hooktrestle_core::map_switch::Gate;
 use hooktrestle_core::map_switch::MapId;
 use hooktrestle_core::map_switch::Order;
+use hooktrestle_core::map_switch::OrderAction;
 use hooktrestle_core::map_switch::Rank;
-use hooktrestle_core::map_switch::Staging;
 use hooktrestle_core::map_switch::wire;
 use hooktrestle_core::placement::Layout;
 use hooktrestle_schema::ExpertCounts;
@@ -79,9 +79,9 @@
     ///
     /// # Panics
     ///
-    /// As [`Layout::even`].
+    /// As [`Layout::round_robin`].
     pub fn start(ranks: usize, experts: usize, slots_per_rank: usize) -> FakeGroup {
-        let layout = Layout::even(experts, ranks, slots_per_rank);
+        let layout = Layout::round_robin(experts, ranks, slots_per_rank);
         let on = |rank| {
             let experts = layout.on(hooktrestle_core::placement::Rank(rank as u16));
             experts.iter().map(|expert| expert.0).collect()
@@ -128,9 +128,9 @@
         let mut state = lock(&self.state);
         let member = &mut state.members[rank];
         let reply = match member.rank.order(Order::from(order)) {
-            Staging::Answer(reply) => Some(reply),
-            Staging::Silent => None,
-            Staging::Load(map) => {
+            OrderAction::Answer(reply) => Some(reply),
+            OrderAction::Silent => None,
+            OrderAction::Load(map) => {
                 if let MapOrderKind::Stage(stage) = &order.kind {
                     member.staged = Some((map, stage.experts.clone()));
                 }
@@ -138,7 +138,7 @@
                 member.rank.loaded(map, whole)
             }
         };
-        let decided = member.rank.standing().armed.filter(|armed| armed.committed);
+        let decided = member.rank.state().armed.filter(|armed| armed.committed);
         let experts = match (&member.staged, decided) {
             (Some((map, experts)), Some(armed)) if *map == armed.map => experts,
             _ => &member.experts,
@@ -193,7 +193,7 @@
 
 impl Member {
     fn step(&mut self) -> MapId {
-        let map = self.rank.stepped();
+        let map = self.rank.begin_step();
         if let Some((_, experts)) = self.staged.take_if(|(staged, _)| *staged == map) {
             self.experts = experts;
         }
--- a/crates/hooktrestled/src/gateway/drive.rs
+++ b/crates/hooktrestled/src/gateway/drive.rs
@@ -8,7 +8,7 @@
 use hooktrestle_core::attempt;
 use hooktrestle_core::attempt::Attempts;
 use hooktrestle_core::attempt::Next;
-use hooktrestle_core::attempt::Repeat;
+use hooktrestle_core::attempt::RetryPolicy;
 use hooktrestle_core::clock::Clock;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::id::RequestId;
@@ -71,8 +71,8 @@
     pub(crate) deadline: Duration,
     pub(crate) priority: u8,
     pub(crate) cost_tokens: u32,
-    pub(crate) repeat: Repeat,
-    /// The caller's own ticket, with [`Repeat::Never`].
+    pub(crate) retry_policy: RetryPolicy,
+    /// The caller's own ticket, with [`RetryPolicy::Never`].
     pub(crate) ticket: Option<Ticket>,
     /// The gateway's part of the request's trace.
     pub(crate) hop: Hop,
@@ -173,8 +173,8 @@
     let (head, answer) = oneshot::channel();
     let config = attempt::Config {
         number: shared.numbers.next(),
-        repeat: incoming.repeat,
-        most_attempts: shared.settings.attempts,
+        retry_policy: incoming.retry_policy,
+        max_attempts: shared.settings.attempts,
     };
     let driver = Driver {
         deadline: shared.clock.now() + Millis::from(incoming.deadline),
@@ -253,18 +253,18 @@
     /// The refusal when nothing can be chosen. What a caller's own ticket did earlier is not known
     /// here.
     fn nowhere(&self) -> Refusal {
-        let refusal = attempt::nowhere_to_go(NOWHERE_RETRY_AFTER);
-        match self.incoming.repeat {
-            Repeat::Never => Refusal { verdict: Verdict::MayHaveRun, ..refusal },
-            Repeat::Freely | Repeat::WithNewTicket => refusal,
+        let refusal = attempt::no_backend_server(NOWHERE_RETRY_AFTER);
+        match self.incoming.retry_policy {
+            RetryPolicy::Never => Refusal { verdict: Verdict::MayHaveRun, ..refusal },
+            RetryPolicy::Unrestricted | RetryPolicy::WithNewTicket => refusal,
         }
     }
 
     fn ticket(&self, choice: &Choice) -> Option<Ticket> {
-        match self.incoming.repeat {
-            Repeat::Freely => None,
-            Repeat::Never => self.incoming.ticket.clone(),
-            Repeat::WithNewTicket => {
+        match self.incoming.retry_policy {
+            RetryPolicy::Unrestricted => None,
+            RetryPolicy::Never => self.incoming.ticket.clone(),
+            RetryPolicy::WithNewTicket => {
                 let handle = &choice.handle;
                 Some(tickets::mint(&handle.sidecar, handle.incarnation, choice.sidecar_now))
             }
--- a/crates/hooktrestled/src/gateway/http.rs
+++ b/crates/hooktrestled/src/gateway/http.rs
@@ -15,7 +15,7 @@
 use futures_util::StreamExt;
 use futures_util::TryStreamExt;
 use futures_util::stream;
-use hooktrestle_core::attempt::Repeat;
+use hooktrestle_core::attempt::RetryPolicy;
 use hooktrestle_core::config::Account;
 use hooktrestle_core::util::arena::Key;
 use hooktrestle_core::verdict::Refusal;
@@ -245,7 +245,8 @@
     let account = &config.accounts[account];
     let deadline_ms = number(&call.headers, headers::DEADLINE, 1, u64::MAX)?;
     let priority = number(&call.headers, headers::PRIORITY, 0, u64::from(MOST_PRIORITY))?;
-    let (repeat, ticket) = repeat(shared, &account.name, &request.service, &call.headers)?;
+    let (retry_policy, ticket) =
+        retry_policy(shared, &account.name, &request.service, &call.headers)?;
     Ok(Incoming {
         service: request.service.as_str().into(),
         account: account.name.clone(),
@@ -257,7 +258,7 @@
         deadline: Duration::from_millis(deadline_ms.unwrap_or(row.deadline_ms)),
         priority: priority.and_then(|number| u8::try_from(number).ok()).unwrap_or(0),
         cost_tokens: request.cost_tokens,
-        repeat,
+        retry_policy,
         ticket,
         hop: shared.traces.hop(
             "gateway",
@@ -272,12 +273,12 @@
     })
 }
 
-fn repeat(
+fn retry_policy(
     shared: &Shared,
     account: &str,
     service: &str,
     headers: &HeaderMap,
-) -> Result<(Repeat, Option<Ticket>), Problem> {
+) -> Result<(RetryPolicy, Option<Ticket>), Problem> {
     let once = match text(headers, headers::NOT_REPEATABLE) {
         None | Some("false") => false,
         Some("true") => true,
@@ -288,15 +289,15 @@
     };
     let key = text(headers, headers::REQUEST_KEY);
     match (once, key) {
-        (false, _) => Ok((Repeat::Freely, None)),
-        (true, None) => Ok((Repeat::WithNewTicket, None)),
+        (false, _) => Ok((RetryPolicy::Unrestricted, None)),
+        (true, None) => Ok((RetryPolicy::WithNewTicket, None)),
         (true, Some(key)) => {
             let ticket = tickets::open(&shared.keys, account, service, key);
             let bad = || {
                 let name = headers::REQUEST_KEY;
                 Problem::bad(format!("{name}: get one for this service from POST /v1/tickets"))
             };
-            Ok((Repeat::Never, Some(ticket.ok_or_else(bad)?)))
+            Ok((RetryPolicy::Never, Some(ticket.ok_or_else(bad)?)))
         }
     }
 }
--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -16,7 +16,7 @@
 use eyre::Result;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::dispatch;
-use hooktrestle_core::once;
+use hooktrestle_core::ticket_memory;
 use hooktrestle_schema::Settings;
 use hooktrestle_schema::SidecarSettings;
 use spdlog::info;
@@ -168,12 +168,12 @@
 
 fn limits(settings: &SidecarSettings) -> dispatch::Config {
     dispatch::Config {
-        most_running: FIRST_MOST_RUNNING,
-        most_queued: FIRST_MOST_QUEUED,
-        tickets: once::Config {
-            remember: Millis(settings.remember_ms),
-            most_tickets: settings.remember_tickets as usize,
+        max_running: FIRST_MOST_RUNNING,
+        max_queued: FIRST_MOST_QUEUED,
+        tickets: ticket_memory::Config {
+            retention: Millis(settings.remember_ms),
+            max_tickets: settings.remember_tickets as usize,
         },
-        remember_gateway: REMEMBER_GATEWAY,
+        gateway_retention: REMEMBER_GATEWAY,
     }
 }
--- a/crates/hooktrestled/src/sidecar/desk.rs
+++ b/crates/hooktrestled/src/sidecar/desk.rs
@@ -11,12 +11,12 @@
 use hooktrestle_core::direct::named_limit::Said;
 use hooktrestle_core::dispatch;
 use hooktrestle_core::dispatch::Arrival;
-use hooktrestle_core::dispatch::Cancelling;
+use hooktrestle_core::dispatch::CancelOutcome;
 use hooktrestle_core::dispatch::Dispatcher;
 use hooktrestle_core::dispatch::Link;
-use hooktrestle_core::dispatch::Linking;
+use hooktrestle_core::dispatch::LinkOutcome;
 use hooktrestle_core::dispatch::Next;
-use hooktrestle_core::dispatch::Offer;
+use hooktrestle_core::dispatch::RequestSpec;
 use hooktrestle_core::dispatch::RunKey;
 use hooktrestle_core::fair_queue::FlowId;
 use hooktrestle_core::id::RequestId;
@@ -210,27 +210,27 @@
 
     fn follow_server(&mut self, config: &Config, server: Key<BackendServer>) {
         let record = &config.servers[server];
-        let most_running = record.row.limit_running_requests as usize;
-        let most_queued = config.services[record.service].row.queue_limit_requests as usize;
-        self.dispatcher.set_limits(most_running, most_queued);
+        let max_running = record.row.limit_running_requests as usize;
+        let max_queued = config.services[record.service].row.queue_limit_requests as usize;
+        self.dispatcher.set_limits(max_running, max_queued);
         if config.is_draining(server) && !self.dispatcher.is_leaving() {
             self.give_back();
         } else if !config.is_draining(server) && !self.stopping {
-            self.dispatcher.stay();
+            self.dispatcher.stop_leaving();
         }
     }
 
     fn give_back(&mut self) {
         let now = self.now();
-        for key in self.dispatcher.leave(now) {
+        for key in self.dispatcher.start_leaving(now) {
             self.refuse(key, Refusal::not_run(Cause::Leaving));
         }
     }
 
     /// The backend server asked to be sent nothing for a while.
-    fn rest(&mut self, span: Millis) {
+    fn back_off(&mut self, span: Millis) {
         let now = self.now();
-        let (waiting, left) = self.dispatcher.rest(now, span);
+        let (waiting, left) = self.dispatcher.back_off(now, span);
         let (rest_ms, refused_requests) = (left.0, waiting.len());
         info!("the backend server asked for rest", kv: { rest_ms, refused_requests });
         for key in waiting {
@@ -295,11 +295,11 @@
 
     async fn handle(&mut self, linked: Linked, _: &mut Context<Self>) -> Option<Link> {
         let now = self.now();
-        self.dispatcher.forget_gone(now);
+        self.dispatcher.evict_unlinked(now);
         let name = hash::of(&linked.0.identity.instance);
         let linking =
             self.dispatcher.link(now, name, linked.0.identity.incarnation, linked.0.link_epoch);
-        let Linking::Open(link, abandoned) = linking else { return None };
+        let LinkOutcome::Open(link, abandoned) = linking else { return None };
         for key in abandoned {
             self.abort(key);
         }
@@ -333,7 +333,7 @@
         }
         let now = self.now();
         let id = RequestId::from(&job.frame.id);
-        match self.dispatcher.request(now, link, id, offer(&job.frame)) {
+        match self.dispatcher.request(now, link, id, spec(&job.frame)) {
             Arrival::Queued(key) => {
                 self.waiting.insert(key, job);
                 self.pump();
@@ -352,9 +352,9 @@
     async fn handle(&mut self, cancel: Cancel, _: &mut Context<Self>) {
         let now = self.now();
         match self.dispatcher.cancel(now, cancel.0, cancel.1) {
-            Cancelling::Abort(key) => self.abort(key),
-            Cancelling::Removed(key) => drop(self.waiting.remove(&key)),
-            Cancelling::Unknown => {}
+            CancelOutcome::Abort(key) => self.abort(key),
+            CancelOutcome::Removed(key) => drop(self.waiting.remove(&key)),
+            CancelOutcome::Unknown => {}
         }
         self.dispatcher.acknowledge(cancel.0, cancel.1);
         self.pump();
@@ -398,12 +398,12 @@
                 self.dispatcher.finished(now, key);
                 post(&job.sender, refused(&job.frame, refusal, false));
             }
-            RunEnd::NotStarted(refusal, rest) => {
+            RunEnd::NotStarted(refusal, back_off) => {
                 self.dispatcher.not_started(now, key, job.frame.ticket.as_ref());
                 let spent = job.frame.ticket.is_some();
                 post(&job.sender, refused(&job.frame, refusal, spent));
-                if let Some(span) = rest {
-                    self.rest(span);
+                if let Some(span) = back_off {
+                    self.back_off(span);
                 }
             }
         }
@@ -415,7 +415,7 @@
     type Return = ();
 
     async fn handle(&mut self, limit: Limit, _: &mut Context<Self>) {
-        self.dispatcher.hear_limit(limit.0);
+        self.dispatcher.apply_limit(limit.0);
         self.pump();
     }
 }
@@ -468,8 +468,8 @@
     }
 }
 
-fn offer(frame: &RequestFrame) -> Offer {
-    Offer {
+fn spec(frame: &RequestFrame) -> RequestSpec {
+    RequestSpec {
         flow: FlowId(hash::of(&frame.account)),
         weight: frame.weight,
         cost_tokens: frame.cost_tokens,
--- a/crates/hooktrestled/src/sidecar/group.rs
+++ b/crates/hooktrestled/src/sidecar/group.rs
@@ -16,7 +16,7 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::lease::Lease;
 use hooktrestle_core::lease::Next;
-use hooktrestle_core::lease::Seen;
+use hooktrestle_core::lease::ObservedLease;
 use hooktrestle_core::map_switch::Ballot;
 use hooktrestle_core::placement;
 use hooktrestle_core::placement::Layout;
@@ -96,7 +96,7 @@
         let changed = leading.as_ref().is_some_and(|now| now.group != group);
         if changed {
             leading = None;
-            lease.start_over();
+            lease.require_new_epoch();
             continue;
         }
         if leading.as_ref().is_none_or(|now| now.epoch != epoch) {
@@ -109,7 +109,7 @@
             // Begins anew, under the next epoch: what the ranks know is all that counts.
             warn!("cannot lead for now", kv: { error: = error.to_string().as_str() });
             leading = None;
-            lease.start_over();
+            lease.require_new_epoch();
         }
     }
 }
@@ -135,11 +135,11 @@
         None => None,
         Some(row) => {
             let LeaseRow { holder, epoch } = serde_json::from_value(row.value)?;
-            Some(Seen { version: row.version, holder, epoch })
+            Some(ObservedLease { version: row.version, holder, epoch })
         }
     };
     let began = context.clock.now();
-    let Next::Write { if_version, epoch } = lease.look(began, seen.as_ref()) else {
+    let Next::Write { if_version, epoch } = lease.observe_row(began, seen.as_ref()) else {
         return Ok(());
     };
     let (table, key) = (LEASES.to_owned(), service.to_owned());
@@ -175,7 +175,7 @@
             weight_skew: group.row.weight_skew,
             weight_rebalance: group.row.weight_rebalance,
             load_ms: context.settings.load_ms as f64,
-            most_loads: MOST_LOADS,
+            max_loads: MOST_LOADS,
         };
         Leading {
             epoch,
@@ -206,7 +206,7 @@
 
     async fn plan(&mut self, context: &Context, within: Duration) -> Result<()> {
         let counts = context.backend.counts().await?;
-        self.session.saw_step(counts.step_number);
+        self.session.observe_step(counts.step_number);
         let fresh: Vec<f64> = counts
             .tokens
             .iter()
@@ -222,7 +222,7 @@
         self.popularity.observe(&fresh);
         let Some(old) = &self.layout else { return Ok(()) };
         let mut new = old.clone();
-        let lasted_ms = self.popularity.lasted_counts() * context.settings.plan_ms as f64;
+        let lasted_ms = self.popularity.stable_counts() * context.settings.plan_ms as f64;
         let lasts_ms = lasted_ms.min(LASTS_AT_MOST_MS);
         let shares = self.popularity.shares();
         let moves = self.planner.plan(&mut new, shares, &[], lasts_ms);
--- a/crates/hooktrestled/src/sidecar/group/session.rs
+++ b/crates/hooktrestled/src/sidecar/group/session.rs
@@ -87,8 +87,8 @@
     }
 
     /// A step that the group is known to have reached.
-    pub(super) fn saw_step(&mut self, step: u64) {
-        self.leader.saw_step(step);
+    pub(super) fn observe_step(&mut self, step: u64) {
+        self.leader.observe_step(step);
     }
 
     /// Has all ranks join, ends what an older leader left behind, and returns the experts on each
@@ -138,7 +138,7 @@
             }
             if context.clock.now() >= deadline {
                 ensure!(self.leader.is_staging(), "not all ranks answer");
-                self.leader.give_up();
+                self.leader.abort_staging();
                 deadline = deadline + within;
             }
             if phase != Some(self.leader.phase_number()) {
