--- a/crates/bench/src/plans.rs
+++ b/crates/bench/src/plans.rs
@@ -55,7 +55,7 @@
     let limits = limits(&shape);
     let demands: Vec<Vec<f64>> =
         (0..shape.sets).map(|_| popularity(shape.experts, &mut rng)).collect();
-    let dealt = vec![expert_plan::dealt(shape.experts, shape.ranks); shape.sets];
+    let dealt = vec![expert_plan::round_robin(shape.experts, shape.ranks); shape.sets];
     let mut layout = dealt.clone();
     let began = Instant::now();
     for _ in 0..SWITCHES {
@@ -74,7 +74,7 @@
     if shape.one_slow {
         paces[shape.ranks / 2] = SLOW_PACE;
     }
-    Limits { places: shape.places, new_at: vec![1; shape.ranks], price: PRICE, paces }
+    Limits { places: shape.places, max_new_experts: vec![1; shape.ranks], copy_cost: PRICE, paces }
 }
 
 /// Mean skew of the sets of a layout, each under its own demand.
--- a/crates/core/src/direct.rs
+++ b/crates/core/src/direct.rs
@@ -21,7 +21,7 @@
 //! - [`budget`]: how many repeats failures may cost, over a sliding window.
 //! - [`expert_demand`], [`expert_plan`], [`expert_layout`], [`holders`]: how often experts are chosen,
 //!   and which rank shall hold which.
-//! - [`readings`]: how often experts were chosen, told as what came since.
+//! - [`count_deltas`]: how often experts were chosen, told as what came since.
 //! - [`map_orders`]: how that is changed.
 //! - [`fencing`]: tokens by which servers tell who leads now.
 //! - [`relays`]: gateways through which orders go that no machine of their group should give.
@@ -33,6 +33,7 @@
 pub mod attempts;
 pub mod broken_off;
 pub mod budget;
+pub mod count_deltas;
 pub mod crashes;
 pub mod events;
 pub mod expert_demand;
@@ -49,7 +50,6 @@
 pub mod passes;
 pub mod permits;
 pub mod pool;
-pub mod readings;
 pub mod relays;
 pub mod replica;
 pub mod serving;
--- a/crates/core/src/direct/readings.rs
+++ b/crates/core/src/direct/count_deltas.rs
@@ -3,7 +3,7 @@
 //! A rank counts from its start on, for thousands of experts, and whoever leads its group's map reads
 //! it several times a second. What came since the reading before is a few small numbers; all of it
 //! again is some 18 kB with 16 sets of 192 experts, and 38 ranks read each 120 ms filled a link of 40
-//! Mbit/s, so that orders came a second late. Told as differences and packed, a reading takes a tenth.
+//! Mbit/s, so that orders came a second late. DeltaEncoder as differences and packed, a reading takes a tenth.
 //!
 //! Readings are numbered by the process beside the rank. It keeps the last few, so that several
 //! leaders can read; one that names a reading which is not kept is told all. Numbers begin anew at
@@ -37,20 +37,20 @@
 
 /// The side that tells.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct DeltaEncoder {
     kept: VecDeque<Reading>,
     next: u64,
 }
 
-impl Told {
+impl DeltaEncoder {
     /// Nothing was told yet; readings are numbered from above `origin`.
-    pub fn new(origin: u64) -> Told {
+    pub fn new(origin: u64) -> DeltaEncoder {
         // 0 stands for none.
-        Told { kept: VecDeque::new(), next: (origin >> 1).max(1) }
+        DeltaEncoder { kept: VecDeque::new(), next: (origin >> 1).max(1) }
     }
 
     /// Tells a reading to one that knows the reading with the number `known`.
-    pub fn tell(&mut self, read: Counts, known: u64) -> CountsNews {
+    pub fn encode(&mut self, read: Counts, known: u64) -> CountsNews {
         let number = self.next;
         self.next += 1;
         let base = self.kept.iter().find(|kept| kept.number == known && kept.precedes(&read));
@@ -85,11 +85,11 @@
 
 /// The side that hears, for one rank.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct DeltaDecoder {
     last: Option<Reading>,
 }
 
-impl Heard {
+impl DeltaDecoder {
     /// Number of the reading that is known; 0 for none.
     pub fn known(&self) -> u64 {
         self.last.as_ref().map_or(0, |last| last.number)
@@ -97,7 +97,7 @@
 
     /// Takes what was told, and returns the whole reading; `None` if it says what came since a reading
     /// that is not known: the next one is told whole.
-    pub fn take(&mut self, news: CountsNews) -> Option<Counts> {
+    pub fn decode(&mut self, news: CountsNews) -> Option<Counts> {
         let last = self.last.take();
         let mut counts = news.counts;
         if news.since_number > 0 {
--- a/crates/core/src/direct/expert_demand.rs
+++ b/crates/core/src/direct/expert_demand.rs
@@ -48,7 +48,7 @@
     }
 
     /// Lets what was counted until now, in milliseconds of one clock, count for less.
-    pub fn fade(&mut self, now_ms: f64) {
+    pub fn decay(&mut self, now_ms: f64) {
         let span = now_ms - self.faded_ms;
         self.faded_ms = now_ms;
         for (sums, half_life) in
@@ -60,7 +60,7 @@
     }
 
     /// Takes a rank's counts; a group that was born anew counts from zero.
-    pub fn take(&mut self, key: Key<Server>, epoch: u64, counts: Vec<u64>) {
+    pub fn record(&mut self, key: Key<Server>, epoch: u64, counts: Vec<u64>) {
         if counts.len() != self.fast.len() {
             return;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Each expert's share of a set as it is expected to be; `None` while there are too few counts.
-    pub fn of_set(&self, set: usize) -> Option<Vec<f64>> {
+    pub fn shares_of_set(&self, set: usize) -> Option<Vec<f64>> {
         let places = set * self.experts..(set + 1) * self.experts;
         let (fast, slow) = (self.fast.get(places.clone())?, self.slow.get(places)?);
         let (all_fast, all_slow) = (fast.iter().sum::<f64>(), slow.iter().sum::<f64>());
--- a/crates/core/src/direct/expert_layout.rs
+++ b/crates/core/src/direct/expert_layout.rs
@@ -52,7 +52,7 @@
 
 /// The layout that groups begin with.
 pub fn first(shape: &ExpertShape, ranks: usize) -> Layout {
-    vec![expert_plan::dealt(shape.experts, ranks); shape.sets]
+    vec![expert_plan::round_robin(shape.experts, ranks); shape.sets]
 }
 
 /// A better layout, if it is worth a switch. `paces` are the times that the ranks take for a token,
@@ -69,7 +69,8 @@
     let mut planned = layout.clone();
     // The sets with the most to gain first: copies are few.
     let mut sets: Vec<usize> = (0..shape.sets).collect();
-    let demands: Option<Vec<Vec<f64>>> = sets.iter().map(|set| demand.of_set(*set)).collect();
+    let demands: Option<Vec<Vec<f64>>> =
+        sets.iter().map(|set| demand.shares_of_set(*set)).collect();
     let demands = demands?;
     let skew = |set: usize| expert_plan::skew(&layout[set], &demands[set], paces);
     sets.sort_by(|a, b| skew(*b).total_cmp(&skew(*a)));
@@ -77,14 +78,14 @@
         let shares = &demands[set];
         let limits = expert_plan::Limits {
             places: shape.places,
-            new_at: copies_left.iter().map(|left| (*left).min(shape.spare)).collect(),
-            price: copy_price(shape),
+            max_new_experts: copies_left.iter().map(|left| (*left).min(shape.spare)).collect(),
+            copy_cost: copy_price(shape),
             paces: paces.to_vec(),
         };
         before += expert_plan::skew(&layout[set], shares, paces);
         planned[set] = expert_plan::plan(&layout[set], shares, &limits);
         after += expert_plan::skew(&planned[set], shares, paces);
-        let new = expert_plan::new_at(&layout[set], &planned[set], ranks);
+        let new = expert_plan::new_experts(&layout[set], &planned[set], ranks);
         for (left, new) in copies_left.iter_mut().zip(new) {
             *left = left.saturating_sub(new);
         }
@@ -118,7 +119,7 @@
 pub fn copy_time(shape: &ExpertShape, from: &Layout, to: &Layout, ranks: usize) -> Millis {
     let mut copies = vec![0; ranks];
     for (from, to) in from.iter().zip(to) {
-        let new = expert_plan::new_at(from, to, ranks);
+        let new = expert_plan::new_experts(from, to, ranks);
         copies.iter_mut().zip(new).for_each(|(sum, new)| *sum += new);
     }
     let most = copies.into_iter().max().unwrap_or_default() as f64;
--- a/crates/core/src/direct/expert_plan.rs
+++ b/crates/core/src/direct/expert_plan.rs
@@ -32,15 +32,15 @@
     /// Experts that a rank can hold.
     pub places: usize,
     /// Experts that may be new to each rank.
-    pub new_at: Vec<usize>,
+    pub max_new_experts: Vec<usize>,
     /// Part of the mean load that one copy has to gain.
-    pub price: f64,
+    pub copy_cost: f64,
     /// How long each rank takes for a token, over the usual time.
     pub paces: Vec<f64>,
 }
 
 /// The placement that groups begin with: experts dealt out in turn.
-pub fn dealt(experts: usize, ranks: usize) -> Vec<Holders> {
+pub fn round_robin(experts: usize, ranks: usize) -> Vec<Holders> {
     (0..experts).map(|expert| Holders::one((expert % ranks.max(1)) as Rank)).collect()
 }
 
@@ -71,7 +71,7 @@
 }
 
 /// Experts that are new to each rank.
-pub fn new_at(from: &[Holders], to: &[Holders], ranks: usize) -> Vec<usize> {
+pub fn new_experts(from: &[Holders], to: &[Holders], ranks: usize) -> Vec<usize> {
     let mut new = vec![0; ranks];
     for (old, held_by) in from.iter().zip(to) {
         for rank in held_by.iter().filter(|rank| !old.contains(*rank)) {
@@ -109,9 +109,10 @@
 /// If there is not one share for each expert and one pace for each rank.
 pub fn plan(current: &[Holders], shares: &[f64], limits: &Limits) -> Vec<Holders> {
     assert_eq!(current.len(), shares.len(), "one share for each expert");
-    assert_eq!(limits.new_at.len(), limits.paces.len(), "one pace for each rank");
+    assert_eq!(limits.max_new_experts.len(), limits.paces.len(), "one pace for each rank");
     let mut search = Search::new(current, shares, limits);
-    let most_changes = 2 * limits.new_at.iter().sum::<usize>() + limits.new_at.len();
+    let most_changes =
+        2 * limits.max_new_experts.iter().sum::<usize>() + limits.max_new_experts.len();
     for _ in 0..most_changes {
         let Some(change) = search.best() else { break };
         search.apply(change);
@@ -138,7 +139,7 @@
 
 impl<'a> Search<'a> {
     fn new(start: &'a [Holders], shares: &'a [f64], limits: &'a Limits) -> Search<'a> {
-        let ranks = limits.new_at.len();
+        let ranks = limits.max_new_experts.len();
         let mut held = vec![Vec::new(); ranks];
         for (expert, held_by) in start.iter().enumerate() {
             held_by.iter().for_each(|rank| held[usize::from(rank)].push(expert));
@@ -171,7 +172,7 @@
         let mut best: Option<(f64, Change)> = None;
         for change in self.candidates(slowest) {
             let Some(copies) = self.allowed(&change) else { continue };
-            let gain = before - self.norm_after(&change) - self.limits.price * copies as f64;
+            let gain = before - self.norm_after(&change) - self.limits.copy_cost * copies as f64;
             let rate = gain / copies.max(1) as f64;
             if gain > LEAST_GAIN && best.as_ref().is_none_or(|(known, _)| rate > *known) {
                 best = Some((rate, change));
@@ -238,7 +239,7 @@
             }
             copies += 1;
             let rank = usize::from(rank);
-            if self.new[rank] >= self.limits.new_at[rank] {
+            if self.new[rank] >= self.limits.max_new_experts[rank] {
                 return None;
             }
         }
--- a/crates/core/src/direct/holders.rs
+++ b/crates/core/src/direct/holders.rs
@@ -7,7 +7,7 @@
 
 /// Most ranks of a group that is led: far more than the 64 to 128 that deployments have or plan, and
 /// few enough that a report which names a nonsensical size takes no memory.
-pub const MOST_RANKS: usize = 1_024;
+pub const MAX_RANKS: usize = 1_024;
 
 /// Holders that need no memory of their own: most experts have one to three copies, hot ones more.
 const INLINE: usize = 8;
--- a/crates/core/src/direct/map_orders.rs
+++ b/crates/core/src/direct/map_orders.rs
@@ -31,13 +31,13 @@
 mod versions;
 
 pub use config::Config;
-pub use messages::Ask;
-pub use messages::Giver;
-pub use messages::Guarded;
+pub use messages::FencedOrder;
 pub use messages::Next;
 pub use messages::Order;
 pub use messages::RankReport;
+pub use messages::RankRequest;
 pub use messages::Reply;
+pub use messages::Sender;
 pub use messages::Start;
 pub use versions::Versions;
 
@@ -206,35 +206,35 @@
         if let Some(pause) = self.pause.take() {
             return Next::Pause(pause);
         }
-        if self.settled && self.phase == Phase::Copy && !self.config.looks_before_hold {
+        if self.settled && self.phase == Phase::Copy && !self.config.polls_before_hold {
             // The ranks are done by now; one that is not refuses to be armed for a moment.
             self.enter(Phase::Hold);
             self.ranks[0].unclear = true;
         }
         self.idle_rounds += 1;
-        if self.idle_rounds > self.config.most_idle_rounds {
+        if self.idle_rounds > self.config.max_idle_rounds {
             self.end(Next::Changed);
             return Next::Changed;
         }
-        let asks: Vec<(usize, Ask)> = match self.phase {
+        let asks: Vec<(usize, RankRequest)> = match self.phase {
             Phase::Survey | Phase::Copy => self.looks(),
             Phase::Prepare => self.prepares(),
             Phase::Hold => self.at_first(Order::Hold { pass: self.pass }),
             Phase::Arm => self.arms(),
             Phase::Go | Phase::Release => self.at_first(Order::Go { pass: self.held }),
-            Phase::Watch => vec![(0, Ask::Report)],
+            Phase::Watch => vec![(0, RankRequest::Report)],
         };
         Next::Round(asks)
     }
 
     /// Takes what came back from a round.
-    pub fn take(&mut self, replies: &[(usize, Ask, Reply)]) {
+    pub fn apply_replies(&mut self, replies: &[(usize, RankRequest, Reply)]) {
         let (done, tries) = (self.done(), self.tries);
         for (rank, ask, reply) in replies {
             match (ask, reply) {
                 (_, Reply::Report(report)) => self.reported(*rank, *report),
-                (Ask::Order(guarded), reply) => self.answered(*rank, guarded.order, *reply),
-                (Ask::Report, _) => {}
+                (RankRequest::Order(fenced), reply) => self.answered(*rank, fenced.order, *reply),
+                (RankRequest::Report, _) => {}
             }
             if self.over.is_some() {
                 return;
@@ -253,22 +253,22 @@
             let looks = matches!(phase, Phase::Survey | Phase::Copy | Phase::Watch);
             // What was surveyed is looked at again: a map is about to come into force.
             let waits = looks && (!progress || surveyed);
-            (conflict || waits).then_some(self.config.look)
+            (conflict || waits).then_some(self.config.poll_interval)
         };
     }
 
     fn pause_of_entry(&mut self) -> Option<Millis> {
         match self.phase {
             Phase::Copy if self.settled => Some(std::mem::take(&mut self.copy)),
-            Phase::Copy => Some(std::mem::take(&mut self.copy) + self.config.look),
-            Phase::Watch => Some(self.config.look),
+            Phase::Copy => Some(std::mem::take(&mut self.copy) + self.config.poll_interval),
+            Phase::Watch => Some(self.config.poll_interval),
             _ => None,
         }
     }
 
     /// A later pass is tried at once; a map that is armed is in force after some passes.
     fn pause_of_try(&self) -> Option<Millis> {
-        (self.phase != Phase::Hold).then_some(self.config.retry)
+        (self.phase != Phase::Hold).then_some(self.config.retry_pause)
     }
 
     /// The newest reports of all ranks that gave one.
@@ -291,12 +291,12 @@
         open.filter(move |(index, _)| !first_only || *index == 0)
     }
 
-    fn looks(&self) -> Vec<(usize, Ask)> {
-        self.open(false).map(|(index, _)| (index, Ask::Report)).collect()
+    fn looks(&self) -> Vec<(usize, RankRequest)> {
+        self.open(false).map(|(index, _)| (index, RankRequest::Report)).collect()
     }
 
     /// Rank 0 alone until it has accepted: see the module.
-    fn prepares(&self) -> Vec<(usize, Ask)> {
+    fn prepares(&self) -> Vec<(usize, RankRequest)> {
         let first_only = !self.ranks[0].done;
         let ordered = |rank: &Rank| match rank.armed_version {
             Some(version) => Order::Disarm { version },
@@ -306,24 +306,28 @@
         open.map(|(index, rank)| (index, self.ask(rank, ordered(rank)))).collect()
     }
 
-    fn arms(&self) -> Vec<(usize, Ask)> {
+    fn arms(&self) -> Vec<(usize, RankRequest)> {
         // Rank 0 first where a predecessor may still be at work: it is shut out there.
         let first_only = self.inherited && !self.ranks[0].done;
         let order = Order::Arm { version: self.version, pass: self.pass };
         self.open(first_only).map(|(index, rank)| (index, self.ask(rank, order))).collect()
     }
 
-    fn at_first(&self, order: Order) -> Vec<(usize, Ask)> {
+    fn at_first(&self, order: Order) -> Vec<(usize, RankRequest)> {
         vec![(0, self.ask(&self.ranks[0], order))]
     }
 
     /// An order to a rank, or a look at it first.
-    fn ask(&self, rank: &Rank, order: Order) -> Ask {
+    fn ask(&self, rank: &Rank, order: Order) -> RankRequest {
         if rank.unclear {
-            return Ask::Report;
+            return RankRequest::Report;
         }
         let epoch = self.epoch.unwrap_or_default();
-        Ask::Order(Guarded { order, fence: self.versions.fence(), epoch })
+        RankRequest::Order(FencedOrder {
+            order,
+            fencing_token: self.versions.fencing_token(),
+            epoch,
+        })
     }
 
     fn reported(&mut self, index: usize, report: RankReport) {
@@ -394,8 +398,8 @@
         let may_try_again = self.may_try_again();
         let rank = &mut self.ranks[index];
         match reply {
-            Reply::Fenced => self.end(Next::Deposed),
-            Reply::Taken | Reply::Holds => {
+            Reply::Fenced => self.end(Next::Superseded),
+            Reply::Accepted | Reply::AlreadyInEffect => {
                 self.idle_rounds = 0;
                 match order {
                     Order::Disarm { .. } => rank.armed_version = None,
@@ -406,11 +410,11 @@
                 self.tries += 1;
                 self.idle_rounds = 0;
                 if self.phase == Phase::Hold {
-                    self.pass += self.config.lead_passes.div_ceil(2);
+                    self.pass += self.config.passes_ahead.div_ceil(2);
                 }
             }
             Reply::Conflict => rank.unclear = true,
-            Reply::Nothing => {
+            Reply::NoAnswer => {
                 self.doubtful = true;
                 self.hold_repeated |= self.phase == Phase::Hold;
             }
@@ -426,7 +430,7 @@
             Phase::Prepare | Phase::Arm => self.settled,
             _ => false,
         };
-        expected && self.tries < self.config.most_tries
+        expected && self.tries < self.config.max_conflicts
     }
 
     fn advance(&mut self) {
@@ -445,7 +449,7 @@
             Phase::Go if first && self.settled && !self.hold_repeated => self.end(Next::Switched),
             Phase::Go if first => self.enter(Phase::Watch),
             Phase::Watch if first => {
-                let done = if self.inherited { Next::Dropped } else { Next::Switched };
+                let done = if self.inherited { Next::Discarded } else { Next::Switched };
                 self.end(done);
             }
             // What a predecessor held is released; now the own switch goes on.
@@ -484,12 +488,12 @@
 
     /// Begins to bring in the own map, under a version above all that the ranks told.
     fn prepare_above(&mut self, newest: u64) {
-        match self.versions.take_above(newest) {
+        match self.versions.allocate_above(newest) {
             Some(version) => {
                 self.version = version;
                 self.enter(Phase::Prepare);
             }
-            None => self.end(Next::UsedUp),
+            None => self.end(Next::VersionsExhausted),
         }
     }
 
@@ -509,8 +513,8 @@
 
     fn set_pass(&mut self) {
         let newest = self.reports().map(|report| report.pass);
-        let doubt = if self.doubtful { self.config.doubtful_passes() } else { 0 };
-        self.pass = newest.max().unwrap_or_default() + self.config.lead_passes + doubt;
+        let doubt = if self.doubtful { self.config.unanswered_margin_passes() } else { 0 };
+        self.pass = newest.max().unwrap_or_default() + self.config.passes_ahead + doubt;
     }
 
     fn enter(&mut self, phase: Phase) {
--- a/crates/core/src/direct/map_orders/messages.rs
+++ b/crates/core/src/direct/map_orders/messages.rs
@@ -73,42 +73,42 @@
 
 /// Who gives an order to its rank.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Giver {
+pub enum Sender {
     /// The machine beside the rank: at no price, and none other reaches the rank while it stands still.
-    Beside,
+    Local,
     /// A machine that no rank of the group needs.
-    Elsewhere,
+    Remote,
 }
 
 impl Order {
     /// Who gives it. From the hold on the group waits until all ranks were reached: whoever gives that
     /// order may stand still upon it, and must not be one that is needed then.
-    pub fn giver(self) -> Giver {
+    pub fn sender(self) -> Sender {
         match self {
-            Order::Hold { .. } => Giver::Elsewhere,
-            _ => Giver::Beside,
+            Order::Hold { .. } => Sender::Remote,
+            _ => Sender::Local,
         }
     }
 }
 
 /// An order with what guards it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Guarded {
+pub struct FencedOrder {
     /// What is ordered.
     pub order: Order,
     /// The leader's fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// The group's life that it is meant for.
     pub epoch: u64,
 }
 
 /// What a rank is asked in a round.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ask {
+pub enum RankRequest {
     /// Its report.
     Report,
     /// To do something.
-    Order(Guarded),
+    Order(FencedOrder),
 }
 
 /// What came back.
@@ -117,34 +117,34 @@
     /// A report.
     Report(RankReport),
     /// The order was taken.
-    Taken,
+    Accepted,
     /// What is ordered holds already.
-    Holds,
+    AlreadyInEffect,
     /// It does not fit the rank's state.
     Conflict,
     /// A higher fencing token was seen.
     Fenced,
     /// Nothing: it may have been taken, or may be taken later.
-    Nothing,
+    NoAnswer,
 }
 
 /// What comes next.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// Ask these ranks, all at once.
-    Round(Vec<(usize, Ask)>),
+    /// RankRequest these ranks, all at once.
+    Round(Vec<(usize, RankRequest)>),
     /// Look again after a pause.
     Pause(Millis),
     /// The new map is in force from its pass on.
     Switched,
     /// The group is clean, but this map was not brought in: plan anew.
-    Dropped,
+    Discarded,
     /// The group has another epoch or is not open: begin anew later.
     Changed,
     /// Another leader has a higher fencing token.
-    Deposed,
+    Superseded,
     /// No version is left for this fencing token: claim a new one.
-    UsedUp,
+    VersionsExhausted,
 }
 
 /// What a leader knows of a group before a switch.
--- a/crates/core/src/direct/passes.rs
+++ b/crates/core/src/direct/passes.rs
@@ -29,7 +29,7 @@
 
 impl Passes {
     /// A rank told the last pass that has begun, in this life of its group.
-    pub fn take(&mut self, rank: Key<Server>, epoch: u64, pass: u64, at: Millis) {
+    pub fn record(&mut self, rank: Key<Server>, epoch: u64, pass: u64, at: Millis) {
         let last = self.told.get(&rank).copied().filter(|last| last.epoch == epoch);
         if let Some(last) = last {
             if pass <= last.pass {
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -366,11 +366,11 @@
     ) {
         let mut paces = vec![1.0; 4];
         paces[slow] = pace;
-        let before = expert_plan::dealt(16, 4);
+        let before = expert_plan::round_robin(16, 4);
         let limits = expert_plan::Limits {
             places: 8,
-            new_at: vec![4; 4],
-            price: 0.01,
+            max_new_experts: vec![4; 4],
+            copy_cost: 0.01,
             paces: paces.clone(),
         };
         let after = expert_plan::plan(&before, &shares, &limits);
@@ -454,12 +454,12 @@
         let ranks = 4;
         let mut shares = shares;
         shares[hot] += 6.0;
-        let before = expert_plan::dealt(16, ranks);
+        let before = expert_plan::round_robin(16, ranks);
         let paces = vec![1.0; ranks];
         let limits = expert_plan::Limits {
             places: 6,
-            new_at: vec![new_at; ranks],
-            price: 0.01,
+            max_new_experts: vec![new_at; ranks],
+            copy_cost: 0.01,
             paces: paces.clone(),
         };
         let after = expert_plan::plan(&before, &shares, &limits);
@@ -469,7 +469,7 @@
             let held = after.iter().filter(|holders| holders.contains(rank as Rank)).count();
             prop_assert!(held <= limits.places);
         }
-        let new = expert_plan::new_at(&before, &after, ranks);
+        let new = expert_plan::new_experts(&before, &after, ranks);
         prop_assert!(new.into_iter().all(|new| new <= new_at));
         let skew = |holders: &[Holders]| expert_plan::skew(holders, &shares, &paces);
         // The peak is measured by a norm, which may let the maximum rise a little.
--- a/crates/core/tests/expert_layouts.rs
+++ b/crates/core/tests/expert_layouts.rs
@@ -27,8 +27,8 @@
         counts[*expert] *= factor;
     }
     let mut demand = Demand::new(shape);
-    demand.take(Key::from_index(0), 1, vec![0; shape.experts]);
-    demand.take(Key::from_index(0), 1, counts);
+    demand.record(Key::from_index(0), 1, vec![0; shape.experts]);
+    demand.record(Key::from_index(0), 1, counts);
     demand
 }
 
@@ -41,7 +41,7 @@
         let shape = ExpertShape { places: 20, ..shape(copy_ms) };
         let before = expert_layout::first(&shape, paces.len());
         let after = expert_layout::plan(&shape, &demand(&shape, &hot), &before, &paces)?;
-        expert_plan::new_at(&before[0], &after.layout[0], paces.len()).into_iter().max()
+        expert_plan::new_experts(&before[0], &after.layout[0], paces.len()).into_iter().max()
     };
     // One slow copy alone gains less than it costs.
     assert_eq!([400.0, 148.0, 76.0, 40.0].map(copies), [None, Some(1), Some(2), Some(4)]);
@@ -70,9 +70,9 @@
         counts.iter_mut().for_each(|count| *count += 20);
         counts[hot] += 400;
         now_ms += 120.0;
-        demand.fade(now_ms);
-        demand.take(rank, 1, counts.clone());
-        demand.of_set(0)
+        demand.decay(now_ms);
+        demand.record(rank, 1, counts.clone());
+        demand.shares_of_set(0)
     };
     for _ in 0..20 {
         read(5);
@@ -95,8 +95,8 @@
             (4e4 * ((rank + 1) as f64).powf(-0.6)) as u64
         });
         let mut demand = Demand::new(&shape);
-        demand.take(Key::from_index(0), 1, vec![0; shape.experts]);
-        demand.take(Key::from_index(0), 1, counts.collect());
+        demand.record(Key::from_index(0), 1, vec![0; shape.experts]);
+        demand.record(Key::from_index(0), 1, counts.collect());
         let paces = [1.0; 96];
         let before = expert_layout::first(&shape, paces.len());
         let planned = expert_layout::plan(&shape, &demand, &before, &paces);
@@ -115,10 +115,10 @@
     let (one, other, elsewhere) = (Key::from_index(0), Key::from_index(1), Key::from_index(2));
     let mut demand = Demand::new(&shape);
     assert_eq!(demand.epoch_of(&[one, other]), None);
-    demand.take(one, 4, vec![0; shape.experts]);
-    demand.take(elsewhere, 9, vec![0; shape.experts]);
+    demand.record(one, 4, vec![0; shape.experts]);
+    demand.record(elsewhere, 9, vec![0; shape.experts]);
     assert_eq!(demand.epoch_of(&[one, other]), Some(4));
-    demand.take(other, 5, vec![0; shape.experts]);
-    demand.take(one, 4, vec![7; shape.experts]);
+    demand.record(other, 5, vec![0; shape.experts]);
+    demand.record(one, 4, vec![7; shape.experts]);
     assert_eq!(demand.epoch_of(&[one, other]), Some(5), "one of them told late");
 }
--- a/crates/core/tests/expert_plans.rs
+++ b/crates/core/tests/expert_plans.rs
@@ -69,10 +69,10 @@
 fn keeps_bounds(start: &[Holders], next: &[Holders], limits: &Limits) -> bool {
     let ranks = limits.paces.len();
     let held = |rank: usize| next.iter().filter(|one| one.contains(rank as Rank)).count();
-    let new = expert_plan::new_at(start, next, ranks);
+    let new = expert_plan::new_experts(start, next, ranks);
     next.iter().all(|holders| !holders.is_empty())
         && (0..ranks).all(|rank| held(rank) <= limits.places)
-        && new.iter().zip(&limits.new_at).all(|(new, most)| new <= most)
+        && new.iter().zip(&limits.max_new_experts).all(|(new, most)| new <= most)
 }
 
 /// The same search, slow and obvious: each change is made on a copy, and all is counted anew.
@@ -88,7 +88,7 @@
     };
     // One that is full of new experts gets no other, also not in place of one of them.
     let has_room = |from: &[Holders], to: &[Holders]| {
-        let new = expert_plan::new_at(start, from, ranks);
+        let new = expert_plan::new_experts(start, from, ranks);
         let gains = |rank: usize| {
             let rank = rank as Rank;
             let is_gain = |(index, (old, new)): (usize, (&Holders, &Holders))| {
@@ -96,10 +96,10 @@
             };
             from.iter().zip(to).enumerate().any(is_gain)
         };
-        (0..ranks).all(|rank| new[rank] < limits.new_at[rank] || !gains(rank))
+        (0..ranks).all(|rank| new[rank] < limits.max_new_experts[rank] || !gains(rank))
     };
     let mut current = start.to_vec();
-    for _ in 0..2 * limits.new_at.iter().sum::<usize>() + ranks {
+    for _ in 0..2 * limits.max_new_experts.iter().sum::<usize>() + ranks {
         let before = norm(&current, shares, &limits.paces);
         let mut best: Option<(f64, Vec<Holders>)> = None;
         for next in changes(&current, shares, limits) {
@@ -107,7 +107,8 @@
                 continue;
             }
             let copies = copies(&current, &next);
-            let gain = before - norm(&next, shares, &limits.paces) - limits.price * copies as f64;
+            let gain =
+                before - norm(&next, shares, &limits.paces) - limits.copy_cost * copies as f64;
             let rate = gain / copies.max(1) as f64;
             if gain > 1e-6 && best.as_ref().is_none_or(|(known, _)| rate > *known) {
                 best = Some((rate, next));
@@ -133,8 +134,8 @@
     ) {
         let mut shares = shares;
         shares[hot] += 4.0;
-        let limits = Limits { places, new_at: vec![new_at; 5], price: 0.02, paces };
-        let start = expert_plan::dealt(14, 5);
+        let limits = Limits { places, max_new_experts: vec![new_at; 5], copy_cost: 0.02, paces };
+        let start = expert_plan::round_robin(14, 5);
         let fast = expert_plan::plan(&start, &shares, &limits);
         let slow = plan_slowly(&start, &shares, &limits);
         prop_assert!(keeps_bounds(&start, &fast, &limits));
@@ -171,8 +172,8 @@
         shares[ranks - 1] = 20.0;
         let limits = Limits {
             places: shape.places,
-            new_at: vec![shape.spare; ranks],
-            price: 0.03,
+            max_new_experts: vec![shape.spare; ranks],
+            copy_cost: 0.03,
             paces: vec![1.0; ranks],
         };
         let after = expert_plan::plan(&first[0], &shares, &limits);
--- a/crates/core/tests/frozen_givers.rs
+++ b/crates/core/tests/frozen_senders.rs
@@ -10,13 +10,13 @@
 use std::net::Ipv4Addr;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::map_orders::Ask;
 use hooktrestle_core::direct::map_orders::Config;
-use hooktrestle_core::direct::map_orders::Giver;
-use hooktrestle_core::direct::map_orders::Guarded;
+use hooktrestle_core::direct::map_orders::FencedOrder;
 use hooktrestle_core::direct::map_orders::Next;
 use hooktrestle_core::direct::map_orders::Order;
+use hooktrestle_core::direct::map_orders::RankRequest;
 use hooktrestle_core::direct::map_orders::Reply;
+use hooktrestle_core::direct::map_orders::Sender;
 use hooktrestle_core::direct::map_orders::Start;
 use hooktrestle_core::direct::map_orders::Switch;
 use hooktrestle_core::direct::map_orders::Versions;
@@ -113,15 +113,15 @@
         (0..self.beside_until.len()).any(|rank| !self.is_reached(rank))
     }
 
-    fn order(&mut self, rank: usize, guarded: Guarded, content: Content) -> Reply {
+    fn order(&mut self, rank: usize, fenced: FencedOrder, content: Content) -> Reply {
         let living: Vec<IpAddr> =
             (0..GATEWAYS).map(|last| IpAddr::V4(Ipv4Addr::new(10, 0, 0, last))).collect();
-        let relay = match guarded.order.giver() {
-            Giver::Beside => None,
-            Giver::Elsewhere => self.relays.next(&living, self.now_ms()),
+        let relay = match fenced.order.sender() {
+            Sender::Local => None,
+            Sender::Remote => self.relays.next(&living, self.now_ms()),
         };
-        let reply = self.give(rank, guarded, content, relay.map(number_of));
-        if let (Reply::Nothing, Some(relay)) = (reply, relay) {
+        let reply = self.give(rank, fenced, content, relay.map(number_of));
+        if let (Reply::NoAnswer, Some(relay)) = (reply, relay) {
             self.relays.gave_none(relay, self.now_ms());
         }
         reply
@@ -130,38 +130,40 @@
     fn give(
         &mut self,
         rank: usize,
-        guarded: Guarded,
+        fenced: FencedOrder,
         content: Content,
         gateway: Option<usize>,
     ) -> Reply {
         let now = self.group.now;
         let stands_still = gateway.is_some_and(|gateway| self.gateway_until[gateway] > now);
         if !self.is_reached(rank) || stands_still {
-            return Reply::Nothing;
+            return Reply::NoAnswer;
         }
         if self.rng.random_bool(self.trouble.late) {
             let at = now + self.rng.random_range(1..=60);
-            self.group.late.push((at, rank, guarded, content));
-            return Reply::Nothing;
+            self.group.late.push((at, rank, fenced, content));
+            return Reply::NoAnswer;
         }
-        let reply = self.group.order(rank, guarded, content);
-        if self.trouble.upon.is(guarded.order) && self.trouble.left > 0 {
+        let reply = self.group.order(rank, fenced, content);
+        if self.trouble.upon.is(fenced.order) && self.trouble.left > 0 {
             self.trouble.left -= 1;
             let until = now + self.trouble.frozen_ticks;
             match gateway {
                 Some(gateway) => self.gateway_until[gateway] = until,
                 None => self.beside_until[rank] = until,
             }
-            return Reply::Nothing;
+            return Reply::NoAnswer;
         }
         reply
     }
 
-    fn ask(&mut self, rank: usize, ask: Ask, content: Content) -> Reply {
+    fn ask(&mut self, rank: usize, ask: RankRequest, content: Content) -> Reply {
         match ask {
-            Ask::Report if self.is_reached(rank) => Reply::Report(self.group.report(rank, 0)),
-            Ask::Report => Reply::Nothing,
-            Ask::Order(guarded) => self.order(rank, guarded, content),
+            RankRequest::Report if self.is_reached(rank) => {
+                Reply::Report(self.group.report(rank, 0))
+            }
+            RankRequest::Report => Reply::NoAnswer,
+            RankRequest::Order(fenced) => self.order(rank, fenced, content),
         }
     }
 }
@@ -190,7 +192,7 @@
     let mut played = Played::default();
     let mut fence = 1;
     let mut content = world.group.plan();
-    let mut versions = Versions::of_fence(fence);
+    let mut versions = Versions::of_fencing_token(fence);
     let mut switch = begin(versions, ranks);
     let (mut wakes, mut still, mut held) = (0, 0, 0);
     for tick in 0..400 {
@@ -200,7 +202,7 @@
         if trouble.leader_dies_at == Some(tick) {
             fence += 1;
             wakes = tick + 20;
-            versions = Versions::of_fence(fence);
+            versions = Versions::of_fencing_token(fence);
             content = world.group.plan();
             switch = begin(versions, ranks);
         }
@@ -211,14 +213,14 @@
             }
             match switch.step() {
                 Next::Round(asks) => {
-                    let replies: Vec<(usize, Ask, Reply)> = asks
+                    let replies: Vec<(usize, RankRequest, Reply)> = asks
                         .into_iter()
                         .map(|(rank, ask)| (rank, ask, world.ask(rank, ask, content)))
                         .collect();
-                    if replies.iter().any(|(_, _, reply)| *reply == Reply::Nothing) {
+                    if replies.iter().any(|(_, _, reply)| *reply == Reply::NoAnswer) {
                         wakes = tick + UNANSWERED_TICKS;
                     }
-                    switch.take(&replies);
+                    switch.apply_replies(&replies);
                 }
                 Next::Pause(span) => wakes = tick + span.0.div_ceil(TICK_MS),
                 ended => {
@@ -249,7 +251,8 @@
 }
 
 fn begin(versions: Versions, ranks: usize) -> Switch {
-    let config = Config { lead_passes: 2, pass: Millis(TICK_MS), ..Config::fresh() };
+    let config =
+        Config { passes_ahead: 2, pass_length: Millis(TICK_MS), ..Config::for_fresh_reports() };
     Switch::new(config, versions, ranks, Start::Unknown, Millis::ZERO)
 }
 
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -7,11 +7,11 @@
 mod ranks;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::map_orders::Ask;
 use hooktrestle_core::direct::map_orders::Config;
 use hooktrestle_core::direct::map_orders::Next;
 use hooktrestle_core::direct::map_orders::Order;
 use hooktrestle_core::direct::map_orders::RankReport;
+use hooktrestle_core::direct::map_orders::RankRequest;
 use hooktrestle_core::direct::map_orders::Reply;
 use hooktrestle_core::direct::map_orders::Start;
 use hooktrestle_core::direct::map_orders::Switch;
@@ -65,27 +65,27 @@
     group: &mut Group,
     weather: Weather,
     index: usize,
-    (ask, content): (Ask, Content),
+    (ask, content): (RankRequest, Content),
     rng: &mut ChaCha8Rng,
 ) -> Reply {
-    let guarded = match ask {
-        Ask::Report if rng.random_bool(weather.lost) => return Reply::Nothing,
-        Ask::Report => {
+    let fenced = match ask {
+        RankRequest::Report if rng.random_bool(weather.lost) => return Reply::NoAnswer,
+        RankRequest::Report => {
             let lag = rng.random_range(0..=REPORT_LAG);
             return Reply::Report(group.report(index, lag));
         }
-        Ask::Order(guarded) => guarded,
+        RankRequest::Order(fenced) => fenced,
     };
     if rng.random_bool(weather.lost) {
-        return Reply::Nothing;
+        return Reply::NoAnswer;
     }
     if rng.random_bool(weather.late) {
         let at = group.now + rng.random_range(1..=MOST_LATE);
-        group.late.push((at, index, guarded, content));
-        return Reply::Nothing;
+        group.late.push((at, index, fenced, content));
+        return Reply::NoAnswer;
     }
-    let reply = group.order(index, guarded, content);
-    if rng.random_bool(weather.unanswered) { Reply::Nothing } else { reply }
+    let reply = group.order(index, fenced, content);
+    if rng.random_bool(weather.unanswered) { Reply::NoAnswer } else { reply }
 }
 
 /// A leader with a switch under way, part of whose round may be out.
@@ -94,8 +94,8 @@
     /// What the switch's map holds.
     content: Content,
     /// Asks of the present round that were not sent yet, and the replies so far.
-    round: Vec<(usize, Ask)>,
-    replies: Vec<(usize, Ask, Reply)>,
+    round: Vec<(usize, RankRequest)>,
+    replies: Vec<(usize, RankRequest, Reply)>,
     wakes: u64,
     over: bool,
 }
@@ -106,7 +106,7 @@
         Leader {
             switch: Switch::new(
                 config(),
-                Versions::of_fence(fence),
+                Versions::of_fencing_token(fence),
                 ranks,
                 Start::Unknown,
                 Millis::ZERO,
@@ -133,7 +133,7 @@
             self.replies.push((index, one, reply));
             if self.round.is_empty() {
                 let replies = std::mem::take(&mut self.replies);
-                self.switch.take(&replies);
+                self.switch.apply_replies(&replies);
             }
             return false;
         }
@@ -143,7 +143,7 @@
         match self.switch.step() {
             Next::Round(asks) => self.round = asks,
             Next::Pause(_) => self.wakes = group.now + REPORT_LAG as u64 + 1,
-            Next::Deposed => self.over = true,
+            Next::Superseded => self.over = true,
             next => {
                 let start = match self.switch.epoch() {
                     Some(epoch) if next == Next::Switched => Start::Settled { epoch },
@@ -166,7 +166,7 @@
 }
 
 fn config() -> Config {
-    Config { lead_passes: 4, ..Config::default() }
+    Config { passes_ahead: 4, ..Config::default() }
 }
 
 /// Plays one schedule; returns the switches that were completed.
@@ -241,13 +241,17 @@
 
 #[test]
 fn a_version_is_given_out_once_and_stays_below_those_of_the_next_leader() {
-    let mut first = Versions::of_fence(3);
-    let mut taken: Vec<u64> = std::iter::from_fn(|| first.take_above(0)).collect();
-    assert_eq!(first.take_above(0), None, "none is left");
+    let mut first = Versions::of_fencing_token(3);
+    let mut taken: Vec<u64> = std::iter::from_fn(|| first.allocate_above(0)).collect();
+    assert_eq!(first.allocate_above(0), None, "none is left");
     taken.dedup();
-    let next = Versions::of_fence(4).take_above(0).expect("a new leader has versions");
+    let next = Versions::of_fencing_token(4).allocate_above(0).expect("a new leader has versions");
     assert!(taken.is_sorted() && taken.iter().all(|version| *version < next));
-    assert_eq!(Versions::of_fence(3).take_above(next), None, "the next leader's are not its own");
+    assert_eq!(
+        Versions::of_fencing_token(3).allocate_above(next),
+        None,
+        "the next leader's are not its own"
+    );
 }
 
 #[test]
@@ -273,22 +277,26 @@
 
 /// Carries out a switch whose rank `silent`, if any, answers no report; stops where a pass is held.
 fn reaches_a_hold(group: &mut Group, start: Start, silent: Option<usize>) -> bool {
-    let config = Config { lead_passes: 4, ..Config::fresh() };
-    let versions = Versions::of_fence(group.now + 1);
+    let config = Config { passes_ahead: 4, ..Config::for_fresh_reports() };
+    let versions = Versions::of_fencing_token(group.now + 1);
     let mut switch = Switch::new(config, versions, group.ranks.len(), start, Millis::ZERO);
     let content = group.plan();
     for _ in 0..60 {
         match switch.step() {
             Next::Round(asks) => {
-                let replies: Vec<(usize, Ask, Reply)> = asks
+                let replies: Vec<(usize, RankRequest, Reply)> = asks
                     .into_iter()
                     .map(|(index, ask)| match ask {
-                        Ask::Report if silent == Some(index) => (index, ask, Reply::Nothing),
-                        Ask::Report => (index, ask, Reply::Report(group.report(index, 0))),
-                        Ask::Order(guarded) => (index, ask, group.order(index, guarded, content)),
+                        RankRequest::Report if silent == Some(index) => {
+                            (index, ask, Reply::NoAnswer)
+                        }
+                        RankRequest::Report => (index, ask, Reply::Report(group.report(index, 0))),
+                        RankRequest::Order(fenced) => {
+                            (index, ask, group.order(index, fenced, content))
+                        }
                     })
                     .collect();
-                switch.take(&replies);
+                switch.apply_replies(&replies);
             }
             Next::Pause(_) => group.tick(),
             _ => return false,
@@ -312,9 +320,10 @@
 /// How far ahead of the newest pass a switch is set, where one rank's first answer to an order was lost
 /// and passes take so long.
 fn lead_after_a_lost_answer(pass: Millis) -> u64 {
-    let config = Config { pass, ..Config::fresh() };
+    let config = Config { pass_length: pass, ..Config::for_fresh_reports() };
     let mut group = Group::new(3);
-    let mut switch = Switch::new(config, Versions::of_fence(1), 3, Start::Unknown, Millis::ZERO);
+    let mut switch =
+        Switch::new(config, Versions::of_fencing_token(1), 3, Start::Unknown, Millis::ZERO);
     let content = group.plan();
     let mut lost = false;
     for _ in 0..60 {
@@ -323,18 +332,18 @@
                 let mut replies = Vec::new();
                 for (index, ask) in asks {
                     let reply = match ask {
-                        Ask::Report => Reply::Report(group.report(index, 0)),
-                        Ask::Order(guarded) => {
-                            if let Order::Hold { pass } = guarded.order {
+                        RankRequest::Report => Reply::Report(group.report(index, 0)),
+                        RankRequest::Order(fenced) => {
+                            if let Order::Hold { pass } = fenced.order {
                                 return pass - group.ranks[0].report.pass;
                             }
-                            let reply = group.order(index, guarded, content);
-                            if std::mem::replace(&mut lost, true) { reply } else { Reply::Nothing }
+                            let reply = group.order(index, fenced, content);
+                            if std::mem::replace(&mut lost, true) { reply } else { Reply::NoAnswer }
                         }
                     };
                     replies.push((index, ask, reply));
                 }
-                switch.take(&replies);
+                switch.apply_replies(&replies);
             }
             Next::Pause(_) => group.tick(),
             _ => break,
@@ -346,7 +355,7 @@
 #[test]
 fn a_lost_answer_sets_the_pass_a_time_ahead_not_a_number_of_passes() {
     let [short, long] = [30, 120].map(|pass_ms| lead_after_a_lost_answer(Millis(pass_ms)));
-    let sure = Config::fresh().lead_passes;
+    let sure = Config::for_fresh_reports().passes_ahead;
     assert_eq!(short - sure, 9, "250 ms of passes of 30 ms");
     assert_eq!(long - sure, 3, "250 ms of passes of 120 ms");
 }
@@ -355,11 +364,16 @@
 fn a_group_that_is_armed_is_not_surveyed_without_a_pause() {
     let group = Group::new(3);
     let armed = RankReport { armed: Some((7, 1_000)), ..group.report(0, 0) };
-    let mut switch =
-        Switch::new(Config::fresh(), Versions::of_fence(1), 3, Start::Unknown, Millis::ZERO);
+    let mut switch = Switch::new(
+        Config::for_fresh_reports(),
+        Versions::of_fencing_token(1),
+        3,
+        Start::Unknown,
+        Millis::ZERO,
+    );
     let Next::Round(asks) = switch.step() else { panic!("it surveys first") };
-    let replies: Vec<(usize, Ask, Reply)> =
+    let replies: Vec<(usize, RankRequest, Reply)> =
         asks.into_iter().map(|(index, ask)| (index, ask, Reply::Report(armed))).collect();
-    switch.take(&replies);
-    assert_eq!(switch.step(), Next::Pause(Config::fresh().look));
+    switch.apply_replies(&replies);
+    assert_eq!(switch.step(), Next::Pause(Config::for_fresh_reports().poll_interval));
 }
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -9,13 +9,13 @@
     let mut passes = Passes::default();
     let rank = Key::from_index(0);
     assert_eq!(passes.length(), None);
-    passes.take(rank, 1, 100, Millis(1_000));
-    passes.take(rank, 1, 102, Millis(1_120));
+    passes.record(rank, 1, 100, Millis(1_000));
+    passes.record(rank, 1, 102, Millis(1_120));
     assert_eq!(passes.length(), Some(Millis(60)));
-    passes.take(rank, 1, 102, Millis(1_240));
+    passes.record(rank, 1, 102, Millis(1_240));
     assert_eq!(passes.length(), Some(Millis(60)), "no pass has begun since");
     for reading in 1..60 {
-        passes.take(rank, 1, 102 + reading, Millis(1_120 + 120 * reading));
+        passes.record(rank, 1, 102 + reading, Millis(1_120 + 120 * reading));
     }
     assert_eq!(passes.length(), Some(Millis(119)));
 }
@@ -24,9 +24,9 @@
 fn a_group_that_is_born_anew_counts_from_zero() {
     let mut passes = Passes::default();
     let rank = Key::from_index(0);
-    passes.take(rank, 1, 100, Millis(1_000));
-    passes.take(rank, 2, 101, Millis(9_000));
+    passes.record(rank, 1, 100, Millis(1_000));
+    passes.record(rank, 2, 101, Millis(9_000));
     assert_eq!(passes.length(), None);
-    passes.take(rank, 2, 103, Millis(9_100));
+    passes.record(rank, 2, 103, Millis(9_100));
     assert_eq!(passes.length(), Some(Millis(50)));
 }
--- a/crates/core/tests/ranks/mod.rs
+++ b/crates/core/tests/ranks/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a group of ranks that keeps to the published rules of map orders, tick by tick.
 #![allow(dead_code, reason = "each test program uses a part")]
 
-use hooktrestle_core::direct::map_orders::Guarded;
+use hooktrestle_core::direct::map_orders::FencedOrder;
 use hooktrestle_core::direct::map_orders::Order;
 use hooktrestle_core::direct::map_orders::RankReport;
 use hooktrestle_core::direct::map_orders::Reply;
@@ -83,7 +83,7 @@
     /// Reports of earlier ticks, the newest last.
     pub history: Vec<Vec<RankReport>>,
     /// Orders on their way: the tick in which each is carried out, its rank, and its map's content.
-    pub late: Vec<(u64, usize, Guarded, Content)>,
+    pub late: Vec<(u64, usize, FencedOrder, Content)>,
     /// Content of the newest switch that was planned.
     planned: Content,
     /// Passes in which two ranks used different maps.
@@ -118,34 +118,34 @@
     }
 
     /// A rank's reply to an order; `content` is that of the map that it concerns.
-    pub fn order(&mut self, index: usize, guarded: Guarded, content: Content) -> Reply {
+    pub fn order(&mut self, index: usize, fenced: FencedOrder, content: Content) -> Reply {
         let rank = &mut self.ranks[index];
-        if guarded.epoch != rank.report.epoch {
+        if fenced.epoch != rank.report.epoch {
             return Reply::Conflict;
         }
-        if self.checks_fences && guarded.fence < rank.fence {
+        if self.checks_fences && fenced.fencing_token < rank.fence {
             return Reply::Fenced;
         }
-        if rank.holds(guarded.order) {
-            return Reply::Holds;
+        if rank.holds(fenced.order) {
+            return Reply::AlreadyInEffect;
         }
-        if !rank.fits(guarded.order) {
+        if !rank.fits(fenced.order) {
             return Reply::Conflict;
         }
-        rank.carry_out(guarded.order, content, self.now);
-        rank.fence = rank.fence.max(guarded.fence);
-        Reply::Taken
+        rank.carry_out(fenced.order, content, self.now);
+        rank.fence = rank.fence.max(fenced.fencing_token);
+        Reply::Accepted
     }
 
     /// Carries out late orders that are due, copies, and makes a pass if it may.
     pub fn tick(&mut self) {
         self.now += 1;
         let now = self.now;
-        let due: Vec<(u64, usize, Guarded, Content)> =
+        let due: Vec<(u64, usize, FencedOrder, Content)> =
             self.late.iter().copied().filter(|(at, ..)| *at <= now).collect();
         self.late.retain(|(at, ..)| *at > now);
-        for (_, index, guarded, content) in due {
-            self.order(index, guarded, content);
+        for (_, index, fenced, content) in due {
+            self.order(index, fenced, content);
         }
         for rank in &mut self.ranks {
             if let Some((version, at)) = rank.copying
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use hooktrestle_core::direct::count_deltas::Counts;
 use hooktrestle_core::direct::map_orders::Reply;
 use hooktrestle_core::direct::pool::Server;
-use hooktrestle_core::direct::readings::Counts;
 use hooktrestle_core::util::arena::Key;
 use hooktrestle_schema::CountsNews;
 use http::Method;
@@ -289,9 +289,9 @@
     match ask(gateway, server, order, path).await {
         Some((status, _)) if gateway.platform.is_other_server(status.as_u16()) => {
             gateway.with_pool(|pool| pool.replace(server));
-            Reply::Nothing
+            Reply::NoAnswer
         }
         Some((status, _)) => gateway.platform.engine_order_reply(status.as_u16()),
-        None => Reply::Nothing,
+        None => Reply::NoAnswer,
     }
 }
--- a/crates/direct/src/maps.rs
+++ b/crates/direct/src/maps.rs
@@ -23,13 +23,13 @@
 use futures_util::future::join;
 use futures_util::future::join_all;
 use hooktrestle_core::clock::Millis;
+use hooktrestle_core::direct::count_deltas::Counts;
+use hooktrestle_core::direct::count_deltas::DeltaDecoder;
 use hooktrestle_core::direct::expert_demand::Demand;
-use hooktrestle_core::direct::holders::MOST_RANKS;
+use hooktrestle_core::direct::holders::MAX_RANKS;
 use hooktrestle_core::direct::members::Readiness;
 use hooktrestle_core::direct::passes::Passes;
 use hooktrestle_core::direct::pool::Server;
-use hooktrestle_core::direct::readings::Counts;
-use hooktrestle_core::direct::readings::Heard;
 use hooktrestle_core::direct::serving::ExpertShape;
 use hooktrestle_core::util::arena::Key;
 use tokio::sync::Notify;
@@ -172,7 +172,7 @@
     /// Servers in groups that are too large to be led.
     unled: RefCell<BTreeSet<Key<Server>>>,
     /// Readings that were heard last.
-    heard: RefCell<BTreeMap<Key<Server>, Heard>>,
+    heard: RefCell<BTreeMap<Key<Server>, DeltaDecoder>>,
     demand: RefCell<Demand>,
     passes: RefCell<Passes>,
     paces: RefCell<Paces>,
@@ -325,7 +325,7 @@
         let mut groups = self.groups.borrow_mut();
         for (key, report) in new.into_iter().zip(reports) {
             let Some(report) = report else { continue };
-            if report.size > MOST_RANKS {
+            if report.size > MAX_RANKS {
                 self.leave_unled(key, &report);
                 continue;
             }
@@ -346,7 +346,7 @@
         let EngineReport { group, size, .. } = report;
         let name = &self.name;
         self.gateway.journal.state(format_args!(
-            "group {group} of {name} is not led: {size} ranks, of at most {MOST_RANKS}"
+            "group {group} of {name} is not led: {size} ranks, of at most {MAX_RANKS}"
         ));
     }
 
@@ -371,11 +371,11 @@
         let now = self.gateway.now();
         let mut demand = self.demand.borrow_mut();
         let mut passes = self.passes.borrow_mut();
-        demand.fade(now.0 as f64);
+        demand.decay(now.0 as f64);
         demand.busy = false;
         for (key, counts) in read {
-            passes.take(key, counts.epoch, counts.pass, now);
-            demand.take(key, counts.epoch, counts.counts);
+            passes.record(key, counts.epoch, counts.pass, now);
+            demand.record(key, counts.epoch, counts.counts);
         }
         drop((demand, passes));
         self.counted.notify_waiters();
@@ -387,9 +387,9 @@
             return Vec::new();
         }
         let asked = self.nearby(ranks).into_iter().map(|key| async move {
-            let known = self.heard.borrow().get(&key).map_or(0, Heard::known);
+            let known = self.heard.borrow().get(&key).map_or(0, DeltaDecoder::known);
             let news = engine::counts_since(&self.gateway, key, known).await?;
-            let read = self.heard.borrow_mut().entry(key).or_default().take(news)?;
+            let read = self.heard.borrow_mut().entry(key).or_default().decode(news)?;
             Some((key, read))
         });
         join_all(asked).await.into_iter().flatten().collect()
--- a/crates/direct/src/maps/group.rs
+++ b/crates/direct/src/maps/group.rs
@@ -11,13 +11,13 @@
 use hooktrestle_core::direct::expert_layout::Layout;
 use hooktrestle_core::direct::expert_layout::Planned;
 use hooktrestle_core::direct::map_orders;
-use hooktrestle_core::direct::map_orders::Ask;
-use hooktrestle_core::direct::map_orders::Giver;
-use hooktrestle_core::direct::map_orders::Guarded;
+use hooktrestle_core::direct::map_orders::FencedOrder;
 use hooktrestle_core::direct::map_orders::Next;
 use hooktrestle_core::direct::map_orders::Order;
 use hooktrestle_core::direct::map_orders::Phase;
+use hooktrestle_core::direct::map_orders::RankRequest;
 use hooktrestle_core::direct::map_orders::Reply;
+use hooktrestle_core::direct::map_orders::Sender;
 use hooktrestle_core::direct::map_orders::Start;
 use hooktrestle_core::direct::map_orders::Switch;
 use hooktrestle_core::direct::map_orders::Versions;
@@ -65,7 +65,7 @@
 /// Follows demand with one group's map, as long as the lead of its service goes on.
 pub(super) async fn lead<P: Platform>(service: Rc<Service<P>>, group: String) {
     let mut known: Option<Known> = None;
-    let mut versions = Versions::of_fence(service.fence);
+    let mut versions = Versions::of_fencing_token(service.fence);
     while !service.lead.is_over() {
         // What was planned from the same counts before would be planned again.
         drop(time::timeout(LOOK_EVERY, service.counted.notified()).await);
@@ -121,9 +121,12 @@
     ranks: usize,
 ) -> Switch {
     let beside = service.gateway.sidecars_port > 0;
-    let mut config =
-        if beside { map_orders::Config::fresh() } else { map_orders::Config::default() };
-    config.pass = service.passes.borrow().length().unwrap_or(config.pass);
+    let mut config = if beside {
+        map_orders::Config::for_fresh_reports()
+    } else {
+        map_orders::Config::default()
+    };
+    config.pass_length = service.passes.borrow().length().unwrap_or(config.pass_length);
     let copy = expert_layout::copy_time(&service.shape, &before.layout, planned, ranks);
     Switch::new(config, versions, ranks, before.start, copy)
 }
@@ -145,12 +148,12 @@
             let start = Start::Settled { epoch };
             Some(Known { epoch, version, layout: planned, start, unsettled: false })
         }
-        Next::Deposed => {
+        Next::Superseded => {
             journal.state(format_args!("group {group}: another leader has a higher fence"));
             service.lead.yield_for(YIELD_WHEN_DEPOSED, service.gateway.now());
             None
         }
-        Next::UsedUp => {
+        Next::VersionsExhausted => {
             journal
                 .state(format_args!("group {group}: no version is left, the lead is claimed anew"));
             service.lead.end();
@@ -211,7 +214,7 @@
     map: &'a [Vec<Vec<u16>>],
     /// The newest order as it is put to ranks: most rounds give all of them the same, with the whole
     /// map where it is to be prepared.
-    newest: RefCell<Option<(Guarded, Rc<Question>)>>,
+    newest: RefCell<Option<(FencedOrder, Rc<Question>)>>,
 }
 
 /// How long the parts of a switch took, for logs.
@@ -266,7 +269,7 @@
                     (*rank, *ask, ask_rank(service, asked, *rank, *ask).await)
                 });
                 let replies = join_all(replies).await;
-                switch.take(&replies);
+                switch.apply_replies(&replies);
             }
             Next::Pause(span) => time::sleep(Duration::from(span)).await,
             ended => {
@@ -283,17 +286,17 @@
     service: &Service<P>,
     asked: &Asked<'_>,
     rank: usize,
-    ask: Ask,
+    ask: RankRequest,
 ) -> Reply {
     let key = asked.ranks[rank];
     match ask {
-        Ask::Report => match engine::report(&service.gateway, key, Path::Any).await {
+        RankRequest::Report => match engine::report(&service.gateway, key, Path::Any).await {
             Some(report) => Reply::Report(report.state),
-            None => Reply::Nothing,
+            None => Reply::NoAnswer,
         },
-        Ask::Order(guarded) => {
-            let order = asked.question(&service.gateway, guarded);
-            let path = asked.path_of(&service.gateway, guarded.order);
+        RankRequest::Order(fenced) => {
+            let order = asked.question(&service.gateway, fenced);
+            let path = asked.path_of(&service.gateway, fenced.order);
             engine::order(&service.gateway, key, &order, path).await
         }
     }
@@ -301,7 +304,7 @@
 
 impl Asked<'_> {
     /// An order as it is put to ranks.
-    fn question<P: Platform>(&self, gateway: &Gateway<P>, order: Guarded) -> Rc<Question> {
+    fn question<P: Platform>(&self, gateway: &Gateway<P>, order: FencedOrder) -> Rc<Question> {
         let mut newest = self.newest.borrow_mut();
         if let Some((_, question)) = newest.as_ref().filter(|(known, _)| *known == order) {
             return question.clone();
@@ -313,9 +316,9 @@
 
     /// How an order reaches its rank; through the rank's own machine where no other gateway lives.
     fn path_of<P: Platform>(&self, gateway: &Gateway<P>, order: Order) -> Path {
-        match order.giver() {
-            Giver::Elsewhere => gateway.next_relay().map_or(Path::Any, Path::Through),
-            Giver::Beside => Path::Any,
+        match order.sender() {
+            Sender::Remote => gateway.next_relay().map_or(Path::Any, Path::Through),
+            Sender::Local => Path::Any,
         }
     }
 }
--- a/crates/direct/src/platform.rs
+++ b/crates/direct/src/platform.rs
@@ -7,13 +7,13 @@
 
 use bytes::Bytes;
 use hooktrestle_core::clock::Millis;
+use hooktrestle_core::direct::count_deltas::Counts;
 use hooktrestle_core::direct::crashes::Crash;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
-use hooktrestle_core::direct::map_orders::Guarded;
+use hooktrestle_core::direct::map_orders::FencedOrder;
 use hooktrestle_core::direct::map_orders::RankReport;
 use hooktrestle_core::direct::map_orders::Reply;
 use hooktrestle_core::direct::pool::Listed;
-use hooktrestle_core::direct::readings::Counts;
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
@@ -136,7 +136,7 @@
     /// Which experts its rank holds.
     Experts,
     /// To do something; the map goes with an order to prepare one: experts by set and rank.
-    Order(&'a Guarded, &'a [Vec<Vec<u16>>]),
+    Order(&'a FencedOrder, &'a [Vec<Vec<u16>>]),
 }
 
 /// An engine as it reports itself.
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -22,8 +22,8 @@
 use eyre::WrapErr;
 use eyre::ensure;
 use eyre::eyre;
-use hooktrestle_core::direct::readings::Counts;
-use hooktrestle_core::direct::readings::Told;
+use hooktrestle_core::direct::count_deltas::Counts;
+use hooktrestle_core::direct::count_deltas::DeltaEncoder;
 use hooktrestle_schema::SidecarRoleSettings;
 use http::HeaderMap;
 use http::HeaderName;
@@ -75,7 +75,7 @@
     kept: RefCell<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
     /// Understands counts as the engine spells them.
     counts: DecodeCounts,
-    told: RefCell<Told>,
+    told: RefCell<DeltaEncoder>,
 }
 
 /// Decodes an engine's answer about its counts.
@@ -163,7 +163,7 @@
             beside,
             kept: RefCell::default(),
             counts,
-            told: RefCell::new(Told::new(rand::random())),
+            told: RefCell::new(DeltaEncoder::new(rand::random())),
         }
     }
 
@@ -199,7 +199,7 @@
     /// Tells counts to a leader that knows the reading with the number `known`.
     fn tell(&self, known: u64, answer: &[u8]) -> Result<Response<Full<Bytes>>> {
         let read = (self.counts)(answer).ok_or_else(|| eyre!("the counts make no sense"))?;
-        let news = self.told.borrow_mut().tell(read, known);
+        let news = self.told.borrow_mut().encode(read, known);
         let mut body = Vec::new();
         ciborium::into_writer(&news, &mut body)?;
         Ok(Response::new(Full::new(packing::pack(&body))))
