--- a/crates/core/src/direct.rs
+++ b/crates/core/src/direct.rs
@@ -10,7 +10,7 @@
 //! - [`pool`]: which backend server gets a request.
 //! - [`asked`]: what a backend server asks of this gateway: a rest, or nothing more.
 //! - [`named_limit`], [`permits`]: how many requests a backend server takes from all gateways together.
-//! - [`slow`]: which backend servers are slow, as one gateway finds and all tell each other.
+//! - [`slow_servers`]: which backend servers are slow, as one gateway finds and all tell each other.
 //! - [`admission`]: how many streams a service bears, by how long its passes take.
 //! - [`attempts`]: what follows an attempt: answer, another attempt, or a refusal.
 //! - [`fingerprint`]: tells a request that comes again.
@@ -53,5 +53,5 @@
 pub mod relays;
 pub mod replica;
 pub mod serving;
-pub mod slow;
+pub mod slow_servers;
 pub mod unconfirmed;
--- a/crates/core/src/direct/members.rs
+++ b/crates/core/src/direct/members.rs
@@ -4,15 +4,15 @@
 //! heard of everyone. A gateway whose heartbeat stands still is not given to callers any more, and
 //! is forgotten only much later: after a cut, whoever was on the other side is asked again.
 //!
-//! Each exchange of news names every gateway, so what it says of one is kept short: a [`Beat`], a
-//! number for one life of a gateway and what changes while it lives. Names and addresses go only to
+//! Each exchange of news names every gateway, so what it says of one is kept short: a [`Heartbeat`], a
+//! number for one incarnation of a gateway and what changes while it lives. Names and addresses go only to
 //! whoever lacks them. With 149 gateways a message has 2 kB in place of 22.
 //!
 //! What is told of a gateway comes with its age. Others remember longer, or have heard less, so that
 //! a word is new here does not show that the gateway lives.
 
-mod sightings;
-mod told;
+mod liveness;
+mod record;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,14 +23,14 @@
 use rand::Rng;
 use rand::RngExt;
 
-pub use self::sightings::Sight;
-pub use self::sightings::Sighting;
-use self::sightings::Sightings;
-pub use self::told::Beat;
-pub use self::told::LifeId;
-pub use self::told::Member;
-pub use self::told::Readiness;
-pub use self::told::Word;
+pub use self::liveness::Liveness;
+pub use self::liveness::LivenessChange;
+use self::liveness::LivenessTracker;
+pub use self::record::Heartbeat;
+pub use self::record::IncarnationId;
+pub use self::record::Member;
+pub use self::record::MemberRecord;
+pub use self::record::Readiness;
 use crate::clock::Millis;
 use crate::util::hash;
 
@@ -38,17 +38,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Time without a heartbeat after which callers are not sent there.
-    pub suspect: Millis,
+    pub suspect_after: Millis,
     /// Time without a heartbeat after which it is not asked again.
-    pub forget: Millis,
+    pub forget_after: Millis,
     /// Time in which nobody heard of a gateway that is listed, after which its row is removed.
-    pub unlist: Millis,
+    pub unlist_after: Millis,
     /// Gateways of each data centre that follow the store closely.
     pub close_followers: usize,
     /// Time between two exchanges of news by one gateway.
-    pub round: Millis,
+    pub gossip_interval: Millis,
     /// Time without an exchange of news after which this one follows the store closely, too.
-    pub alone: Millis,
+    pub isolated_after: Millis,
 }
 
 impl Default for Config {
@@ -59,12 +59,12 @@
     /// cut are removed and written again, one call each in ten minutes.
     fn default() -> Self {
         Config {
-            suspect: Millis(3_000),
-            forget: Millis(60_000),
-            unlist: Millis(600_000),
+            suspect_after: Millis(3_000),
+            forget_after: Millis(60_000),
+            unlist_after: Millis(600_000),
             close_followers: 3,
-            round: Millis(600),
-            alone: Millis(1_500),
+            gossip_interval: Millis(600),
+            isolated_after: Millis(1_500),
         }
     }
 }
@@ -120,17 +120,17 @@
     config: Config,
     own: Member,
     /// Fencing token with which it leads expert maps, told to others or not; 0 if it does not.
-    lead_fence: u64,
+    leader_fencing_token: u64,
     others: BTreeMap<String, Heard>,
     /// Names of the lives of the others.
-    lives: HashMap<LifeId, String>,
+    lives: HashMap<IncarnationId, String>,
     /// When news were exchanged last.
     exchanged_at: Option<Millis>,
     /// Names that stood in the platform's table when it was read last; `None` before.
     listed: Option<HashSet<String>>,
     /// Names that stood there before the store came back from an older copy, and until when they count.
     listed_before: HashMap<String, Millis>,
-    sightings: Sightings,
+    liveness: LivenessTracker,
 }
 
 impl Members {
@@ -139,19 +139,19 @@
         Members {
             config,
             own,
-            lead_fence: 0,
+            leader_fencing_token: 0,
             others: BTreeMap::new(),
             lives: HashMap::new(),
             exchanged_at: None,
             listed: None,
             listed_before: HashMap::new(),
-            sightings: Sightings::default(),
+            liveness: LivenessTracker::default(),
         }
     }
 
     /// Time between two exchanges of news by one gateway.
-    pub fn round(&self) -> Millis {
-        self.config.round
+    pub fn gossip_interval(&self) -> Millis {
+        self.config.gossip_interval
     }
 
     /// This gateway.
@@ -160,7 +160,7 @@
     }
 
     /// Counts the own heartbeat up.
-    pub fn beat(&mut self) {
+    pub fn advance_heartbeat(&mut self) {
         self.own.heartbeat += 1;
     }
 
@@ -175,36 +175,36 @@
     }
 
     /// This gateway leads expert maps with a fencing token.
-    pub fn begin_lead(&mut self, fence: u64) {
-        self.lead_fence = fence;
-        self.own.lead_fence = fence;
+    pub fn begin_leadership(&mut self, fence: u64) {
+        self.leader_fencing_token = fence;
+        self.own.leader_fencing_token = fence;
     }
 
     /// The highest fencing token that this gateway has or has heard of, living or not; 0 if none.
-    pub fn newest_fence(&self) -> u64 {
-        let heard = self.others.values().map(|heard| heard.member.lead_fence);
-        heard.chain([self.lead_fence]).max().unwrap_or_default()
+    pub fn highest_fencing_token(&self) -> u64 {
+        let heard = self.others.values().map(|heard| heard.member.leader_fencing_token);
+        heard.chain([self.leader_fencing_token]).max().unwrap_or_default()
     }
 
     /// Whether others are told of the lead. Where they are not, one of them may take it over; until
     /// then it goes on.
-    pub fn tell_lead(&mut self, told: bool) {
-        self.own.lead_fence = if told { self.lead_fence } else { 0 };
+    pub fn advertise_leadership(&mut self, told: bool) {
+        self.own.leader_fencing_token = if told { self.leader_fencing_token } else { 0 };
     }
 
     /// The lead with this token is over; one that began since goes on.
-    pub fn end_lead(&mut self, fence: u64) {
-        if self.lead_fence == fence {
-            self.lead_fence = 0;
-            self.own.lead_fence = 0;
+    pub fn end_leadership(&mut self, fence: u64) {
+        if self.leader_fencing_token == fence {
+            self.leader_fencing_token = 0;
+            self.own.leader_fencing_token = 0;
         }
     }
 
     /// Takes what another gateway tells of any gateway.
-    pub fn hear(&mut self, word: &Word, now: Millis) {
+    pub fn apply_record(&mut self, word: &MemberRecord, now: Millis) {
         let told = &word.member;
         if told.name == self.own.name {
-            // Word of another process of this instance: outlive it.
+            // Record of another process of this instance: outlive it.
             let known = (self.own.incarnation, self.own.heartbeat);
             if (told.incarnation, told.heartbeat) > known {
                 self.own.incarnation = told.incarnation + 1;
@@ -213,31 +213,34 @@
         }
         let known = self.others.get(&told.name).cloned();
         let mut heard = known.unwrap_or_else(|| Heard::listed(told, now));
-        if word.age < self.config.forget && heard.is_behind(told) {
+        if word.age < self.config.forget_after && heard.is_behind(told) {
             heard.take(told.clone(), word.age, now);
             self.insert(heard);
         }
     }
 
     fn insert(&mut self, heard: Heard) {
-        let (name, life) = (heard.member.name.clone(), heard.member.life());
+        let (name, incarnation_id) = (heard.member.name.clone(), heard.member.incarnation_id());
         let before = self.others.insert(name.clone(), heard);
-        if let Some(before) = before.map(|before| before.member.life()).filter(|old| *old != life) {
+        if let Some(before) =
+            before.map(|before| before.member.incarnation_id()).filter(|old| *old != incarnation_id)
+        {
             self.lives.remove(&before);
         }
-        self.lives.insert(life, name);
+        self.lives.insert(incarnation_id, name);
     }
 
     /// Takes what another gateway tells of those that it knows, and returns the lives that are not
     /// known here: what they are has to be asked.
-    pub fn hear_beats(&mut self, beats: &[Beat], now: Millis) -> Vec<LifeId> {
-        let (own, forget) = (self.own.life(), self.config.forget);
+    pub fn apply_heartbeats(&mut self, beats: &[Heartbeat], now: Millis) -> Vec<IncarnationId> {
+        let (own, forget) = (self.own.incarnation_id(), self.config.forget_after);
         let mut unknown = Vec::new();
         // Who would be forgotten at once is not asked for.
-        for beat in beats.iter().filter(|beat| beat.life != own && beat.age < forget) {
-            let known = self.lives.get(&beat.life).and_then(|name| self.others.get_mut(name));
+        for beat in beats.iter().filter(|beat| beat.incarnation_id != own && beat.age < forget) {
+            let known =
+                self.lives.get(&beat.incarnation_id).and_then(|name| self.others.get_mut(name));
             let Some(heard) = known else {
-                unknown.push(beat.life);
+                unknown.push(beat.incarnation_id);
                 continue;
             };
             let told = heard.member.with_beat(beat);
@@ -249,40 +252,41 @@
     }
 
     /// What is told of all that were heard of, itself included.
-    pub fn beats(&self, now: Millis) -> Vec<Beat> {
+    pub fn heartbeats(&self, now: Millis) -> Vec<Heartbeat> {
         let others = self.others.values();
-        let beat = |heard: &Heard| Some(heard.member.beat(self.told_age(heard, now)?));
-        others.filter_map(beat).chain([self.own.beat(Millis::ZERO)]).collect()
+        let beat = |heard: &Heard| Some(heard.member.to_heartbeat(self.told_age(heard, now)?));
+        others.filter_map(beat).chain([self.own.to_heartbeat(Millis::ZERO)]).collect()
     }
 
     /// Those that one who told these beats does not know.
-    pub fn lacking(&self, told: &[Beat], now: Millis) -> Vec<Word> {
-        let told: HashSet<LifeId> = told.iter().map(|beat| beat.life).collect();
-        let others = self.others.values().filter(|heard| !told.contains(&heard.member.life()));
-        let own = (!told.contains(&self.own.life())).then(|| self.own_word());
+    pub fn records_missing_from(&self, told: &[Heartbeat], now: Millis) -> Vec<MemberRecord> {
+        let told: HashSet<IncarnationId> = told.iter().map(|beat| beat.incarnation_id).collect();
+        let others =
+            self.others.values().filter(|heard| !told.contains(&heard.member.incarnation_id()));
+        let own = (!told.contains(&self.own.incarnation_id())).then(|| self.own_record());
         others.filter_map(|heard| self.word(heard, now)).chain(own).collect()
     }
 
     /// Those of the lives that were heard of.
-    pub fn named(&self, lives: &[LifeId], now: Millis) -> Vec<Word> {
-        let known = |life: &LifeId| {
-            let other = self.lives.get(life).and_then(|name| self.others.get(name));
-            let is_own = *life == self.own.life();
-            other.and_then(|heard| self.word(heard, now)).or(is_own.then(|| self.own_word()))
+    pub fn records_of(&self, lives: &[IncarnationId], now: Millis) -> Vec<MemberRecord> {
+        let known = |incarnation_id: &IncarnationId| {
+            let other = self.lives.get(incarnation_id).and_then(|name| self.others.get(name));
+            let is_own = *incarnation_id == self.own.incarnation_id();
+            other.and_then(|heard| self.word(heard, now)).or(is_own.then(|| self.own_record()))
         };
         lives.iter().filter_map(known).collect()
     }
 
     /// What this gateway tells of itself.
-    pub fn own_word(&self) -> Word {
-        Word { member: self.own.clone(), age: Millis::ZERO }
+    pub fn own_record(&self) -> MemberRecord {
+        MemberRecord { member: self.own.clone(), age: Millis::ZERO }
     }
 
     /// Takes the platform's table of gateways. That one is listed does not show that it lives: whoever
     /// is not known yet is asked, and counts as living once it is heard of. Returns the rows to remove:
     /// of gateways that nobody has heard of for long, and of all gateways one removes them. Left, they
     /// would be asked, and waited for in taking the lead, for ever. Whoever lives lists itself again.
-    pub fn take_table(&mut self, listed: &[Member], now: Millis) -> Vec<String> {
+    pub fn apply_table(&mut self, listed: &[Member], now: Millis) -> Vec<String> {
         let names: HashSet<&str> = listed.iter().map(|member| member.name.as_str()).collect();
         self.listed_before.retain(|name, until| *until > now && !names.contains(name.as_str()));
         let before = &self.listed_before;
@@ -302,7 +306,7 @@
             return Vec::new();
         }
         let unheard = |heard: &&Heard| {
-            heard.age_then.is_none() && now.since(heard.taken_at) >= self.config.unlist
+            heard.age_then.is_none() && now.since(heard.taken_at) >= self.config.unlist_after
         };
         let found = self.others.values().filter(unheard);
         found.map(|heard| heard.member.name.clone()).collect()
@@ -311,7 +315,7 @@
     /// The store came back from an older copy: rows of the platform's table may be missing until their gateways
     /// have written them again, which those that are cut off cannot. They count as long as a row would.
     pub fn begin_era(&mut self, now: Millis) {
-        let until = now + self.config.unlist;
+        let until = now + self.config.unlist_after;
         let listed = self.listed.iter().flatten();
         self.listed_before.extend(listed.map(|name| (name.clone(), until)));
     }
@@ -323,7 +327,7 @@
 
     /// How many gateways there are, living or not, itself included: those that are remembered or listed, but for those
     /// that said that they stop and did. `None` while nobody has told.
-    pub fn all(&self, now: Millis) -> Option<usize> {
+    pub fn fleet_size(&self, now: Millis) -> Option<usize> {
         if self.listed.is_none() && self.exchanged_at.is_none() {
             return None;
         }
@@ -343,7 +347,7 @@
 
     /// The gateways that live and serve, itself included, in an order that all know: who comes first gives out what is
     /// bounded for all. Never empty: while no other serves, this one does for itself.
-    pub fn in_order(&self, now: Millis) -> Vec<&Member> {
+    pub fn serving_gateways(&self, now: Millis) -> Vec<&Member> {
         let living = self.living_others(now).chain([&self.own]);
         let mut ready: Vec<&Member> =
             living.filter(|member| member.readiness == Readiness::Ready).collect();
@@ -355,7 +359,7 @@
     }
 
     /// A gateway could not be reached: callers are not sent there until it is heard of again.
-    pub fn unreachable(&mut self, peers_at: SocketAddr) {
+    pub fn mark_unreachable(&mut self, peers_at: SocketAddr) {
         let found = self.others.values_mut().find(|heard| heard.member.peers_at == peers_at);
         if let Some(heard) = found {
             heard.unreachable = true;
@@ -369,8 +373,8 @@
 
     /// Forgets those that were silent for long: by when they lived, so that all forget them at about
     /// the same time. Those that are known from the table alone are known as long as they stand in it.
-    pub fn forget(&mut self, now: Millis) {
-        let forget = self.config.forget;
+    pub fn remove_expired(&mut self, now: Millis) {
+        let forget = self.config.forget_after;
         self.others.retain(|_, heard| heard.age(now).is_none_or(|age| age < forget));
         self.forget_lives();
     }
@@ -382,20 +386,20 @@
 
     /// Which others are seen otherwise than at the look before: they were heard of, fell silent, or
     /// were forgotten.
-    pub fn look(&mut self, now: Millis) -> Vec<Sighting> {
+    pub fn liveness_changes(&mut self, now: Millis) -> Vec<LivenessChange> {
         let sight = |heard: &Heard| match self.lives(heard, now) {
-            true => Sight::Living,
-            false => Sight::Silent,
+            true => Liveness::Alive,
+            false => Liveness::Suspected,
         };
         let seen = |(name, heard): (&String, &Heard)| {
             (name.clone(), (heard.member.heartbeat, sight(heard)))
         };
         let known = self.others.iter().map(seen).collect();
-        self.sightings.look(known)
+        self.liveness.update(known)
     }
 
     /// How many gateways live, itself included.
-    pub fn living(&self, now: Millis) -> usize {
+    pub fn count_alive(&self, now: Millis) -> usize {
         1 + self.living_others(now).count()
     }
 
@@ -421,20 +425,21 @@
     /// Whether this gateway is the one that shall lead expert maps, as far as it has heard. Whoever
     /// leads goes on until it stops or is silent: each new leader has to learn the groups and their
     /// demand anew. Of several the one with the highest token stays; while there is none, it is the
-    /// first of those whom the store answers, in the order of [`Members::before`].
-    pub fn shall_lead(&self, now: Millis) -> bool {
+    /// first of those whom the store answers, in the order of [`Members::count_preferred_leaders`].
+    pub fn should_lead(&self, now: Millis) -> bool {
         let living = self.living_others(now);
         let ready = living.filter(|member| member.readiness == Readiness::Ready);
-        let highest = ready.clone().map(|member| member.lead_fence).max().unwrap_or_default();
-        if self.lead_fence > 0 || highest > 0 {
-            return self.lead_fence > highest;
+        let highest =
+            ready.clone().map(|member| member.leader_fencing_token).max().unwrap_or_default();
+        if self.leader_fencing_token > 0 || highest > 0 {
+            return self.leader_fencing_token > highest;
         }
         // Whoever cannot reach the store cannot claim the lead.
         self.is_first_able(now)
     }
 
     /// Whether this gateway is the first of those that live and that the store answers, in the order of
-    /// [`Members::before`].
+    /// [`Members::count_preferred_leaders`].
     fn is_first_able(&self, now: Millis) -> bool {
         let ready = |member: &&Member| member.readiness == Readiness::Ready && member.store_answers;
         let mut able = self.living_others(now).filter(ready).map(Member::lead_order);
@@ -443,13 +448,13 @@
 
     /// How many gateways go before this one in taking the lead, living or not: those with more memory,
     /// then by name.
-    pub fn before(&self) -> usize {
+    pub fn count_preferred_leaders(&self) -> usize {
         let others = self.others.values().map(|heard| heard.member.lead_order());
         others.filter(|order| *order < self.own.lead_order()).count()
     }
 
     /// News were exchanged with another gateway.
-    pub fn exchanged(&mut self, now: Millis) {
+    pub fn record_exchange(&mut self, now: Millis) {
         self.exchanged_at = Some(now);
     }
 
@@ -457,7 +462,8 @@
     /// those whom the store answers, and whoever hears of no other. The rest hear from them what the
     /// store's answers to themselves lack.
     pub fn follows_closely(&self, now: Millis) -> bool {
-        let is_alone = self.exchanged_at.is_none_or(|at| now.since(at) >= self.config.alone);
+        let is_alone =
+            self.exchanged_at.is_none_or(|at| now.since(at) >= self.config.isolated_after);
         let goes_before = |member: &&Member| {
             member.data_centre == self.own.data_centre
                 && member.readiness == Readiness::Ready
@@ -469,7 +475,7 @@
     }
 
     /// Where the other gateways that live are told news.
-    pub fn living_peers(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn alive_peers(&self, now: Millis) -> Vec<SocketAddr> {
         self.living_others(now).map(|member| member.peers_at).collect()
     }
 
@@ -481,29 +487,29 @@
 
     /// How long a lead takes to be known by all: in each round at least as many gateways again hear of
     /// it. Those that were silent count, since whoever has just started has heard of few that live.
-    pub fn spread_time(&self) -> Millis {
+    pub fn propagation_time(&self) -> Millis {
         let known = 1 + self.others.len();
         let doublings = u64::from(usize::BITS - known.leading_zeros()) + SPREAD_TAIL;
-        Millis(self.config.round.0 * doublings.max(LEAST_SPREAD))
+        Millis(self.config.gossip_interval.0 * doublings.max(LEAST_SPREAD))
     }
 
     /// Whether this gateway leads, tells of it, and has heard of no higher token: only then it begins
     /// to change a map. One that does not tell may have been replaced, and servers need not check
     /// fencing tokens.
-    pub fn may_order(&self, now: Millis) -> bool {
-        self.own.lead_fence > 0 && self.shall_lead(now)
+    pub fn may_send_orders(&self, now: Millis) -> bool {
+        self.own.leader_fencing_token > 0 && self.should_lead(now)
     }
 
     /// Another gateway of the own data centre to exchange news with, drawn at random.
-    pub fn draw_near<R: Rng>(&self, now: Millis, rng: &mut R) -> Option<SocketAddr> {
+    pub fn random_local_peer<R: Rng>(&self, now: Millis, rng: &mut R) -> Option<SocketAddr> {
         let is_near = |member: &&Member| member.data_centre == self.own.data_centre;
         let near: Vec<&Member> = self.living_others(now).filter(is_near).collect();
         (!near.is_empty()).then(|| near[rng.random_range(0..near.len())].peers_at)
     }
 
     /// Another gateway to exchange news with, drawn at random; now and then one that was silent.
-    pub fn draw<R: Rng>(&self, now: Millis, rng: &mut R) -> Option<SocketAddr> {
-        let silent_too = rng.random_range(0..SILENT_DRAWS) == 0 || self.living(now) == 1;
+    pub fn random_peer<R: Rng>(&self, now: Millis, rng: &mut R) -> Option<SocketAddr> {
+        let silent_too = rng.random_range(0..SILENT_DRAWS) == 0 || self.count_alive(now) == 1;
         let all = self.others.values();
         let open: Vec<&Heard> = all.filter(|heard| silent_too || self.lives(heard, now)).collect();
         if open.is_empty() {
@@ -518,22 +524,22 @@
         living.map(|heard| &heard.member)
     }
 
-    fn word(&self, heard: &Heard, now: Millis) -> Option<Word> {
-        Some(Word { member: heard.member.clone(), age: self.told_age(heard, now)? })
+    fn word(&self, heard: &Heard, now: Millis) -> Option<MemberRecord> {
+        Some(MemberRecord { member: heard.member.clone(), age: self.told_age(heard, now)? })
     }
 
     /// The age with which a gateway is told of; `None` if it is not. One that is about to be forgotten
     /// is not told of any more: whoever has just forgotten it would learn of it anew.
     fn told_age(&self, heard: &Heard, now: Millis) -> Option<Millis> {
-        heard.age(now).filter(|age| *age + self.config.suspect < self.config.forget)
+        heard.age(now).filter(|age| *age + self.config.suspect_after < self.config.forget_after)
     }
 
     /// Whether news of a gateway came lately, and of a time that is not long past: whoever has just
     /// started, was cut off or had forgotten it is told of those that are gone, too. Who lives has news
     /// spread within the time added, so nobody who lives is taken for silent for it.
     fn lives(&self, heard: &Heard, now: Millis) -> bool {
-        let oldest = self.config.suspect + self.spread_time();
+        let oldest = self.config.suspect_after + self.propagation_time();
         let lived_lately = heard.age(now).is_some_and(|age| age < oldest);
-        lived_lately && !heard.unreachable && now.since(heard.taken_at) < self.config.suspect
+        lived_lately && !heard.unreachable && now.since(heard.taken_at) < self.config.suspect_after
     }
 }
--- a/crates/core/src/direct/members/sightings.rs
+++ b/crates/core/src/direct/members/liveness.rs
@@ -7,32 +7,32 @@
 
 /// How a gateway is seen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sight {
+pub enum Liveness {
     /// Heard of lately: callers may be sent there.
-    Living,
+    Alive,
     /// Known, and not heard of lately.
-    Silent,
+    Suspected,
     /// Not known any more.
     Forgotten,
 }
 
 /// A gateway that is seen otherwise than at the look before.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sighting {
+pub struct LivenessChange {
     /// Name of its instance.
     pub name: String,
     /// Its newest heartbeat that is known; while it is the same, nothing new was heard of it.
     pub heartbeat: u64,
     /// How it is seen now.
-    pub sight: Sight,
+    pub liveness: Liveness,
 }
 
-impl Display for Sighting {
+impl Display for LivenessChange {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> Result {
-        let seen = match self.sight {
-            Sight::Living => "lives",
-            Sight::Silent => "is silent",
-            Sight::Forgotten => "is forgotten",
+        let seen = match self.liveness {
+            Liveness::Alive => "lives",
+            Liveness::Suspected => "is silent",
+            Liveness::Forgotten => "is forgotten",
         };
         write!(formatter, "{} {seen} at heartbeat {}", self.name, self.heartbeat)
     }
@@ -40,26 +40,33 @@
 
 /// The look before.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sightings {
-    seen: BTreeMap<String, (u64, Sight)>,
+pub(super) struct LivenessTracker {
+    seen: BTreeMap<String, (u64, Liveness)>,
 }
 
-impl Sightings {
+impl LivenessTracker {
     /// Takes all that are known by name, each with its heartbeat and how it is seen, and returns what
     /// changed.
-    pub(super) fn look(&mut self, mut known: BTreeMap<String, (u64, Sight)>) -> Vec<Sighting> {
+    pub(super) fn update(
+        &mut self,
+        mut known: BTreeMap<String, (u64, Liveness)>,
+    ) -> Vec<LivenessChange> {
         let mut changed = Vec::new();
-        self.seen.retain(|name, (heartbeat, sight)| {
-            let (newest, seen) = known.remove(name).unwrap_or((*heartbeat, Sight::Forgotten));
-            if seen != *sight {
-                changed.push(Sighting { name: name.clone(), heartbeat: newest, sight: seen });
+        self.seen.retain(|name, (heartbeat, liveness)| {
+            let (newest, seen) = known.remove(name).unwrap_or((*heartbeat, Liveness::Forgotten));
+            if seen != *liveness {
+                changed.push(LivenessChange {
+                    name: name.clone(),
+                    heartbeat: newest,
+                    liveness: seen,
+                });
             }
-            (*heartbeat, *sight) = (newest, seen);
-            seen != Sight::Forgotten
+            (*heartbeat, *liveness) = (newest, seen);
+            seen != Liveness::Forgotten
         });
-        for (name, (heartbeat, sight)) in known {
-            changed.push(Sighting { name: name.clone(), heartbeat, sight });
-            self.seen.insert(name, (heartbeat, sight));
+        for (name, (heartbeat, liveness)) in known {
+            changed.push(LivenessChange { name: name.clone(), heartbeat, liveness });
+            self.seen.insert(name, (heartbeat, liveness));
         }
         changed
     }
--- a/crates/core/src/direct/members/told.rs
+++ b/crates/core/src/direct/members/record.rs
@@ -39,33 +39,33 @@
     /// Whether the platform's store answers it.
     pub store_answers: bool,
     /// Fencing token with which it leads expert maps; 0 if it does not.
-    pub lead_fence: u64,
+    pub leader_fencing_token: u64,
 }
 
-/// Stands for one life of a gateway: a hash of its name and incarnation, the same at all gateways.
+/// Stands for one incarnation of a gateway: a hash of its name and incarnation, the same at all gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct LifeId(pub u64);
+pub struct IncarnationId(pub u64);
 
 /// What changes of a gateway while it lives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Beat {
-    /// Which life of which gateway.
-    pub life: LifeId,
+pub struct Heartbeat {
+    /// Which incarnation of which gateway.
+    pub incarnation_id: IncarnationId,
     /// As [`Member::heartbeat`].
     pub heartbeat: u64,
     /// As [`Member::readiness`].
     pub readiness: Readiness,
     /// As [`Member::store_answers`].
     pub store_answers: bool,
-    /// As [`Member::lead_fence`].
-    pub lead_fence: u64,
+    /// As [`Member::leader_fencing_token`].
+    pub leader_fencing_token: u64,
     /// Time since it lived, as far as the one who tells has heard.
     pub age: Millis,
 }
 
 /// What one gateway tells of another: who it is, and how long ago it lived.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Word {
+pub struct MemberRecord {
     /// The gateway.
     pub member: Member,
     /// Time since it lived, as far as the one who tells has heard.
@@ -73,19 +73,19 @@
 }
 
 impl Member {
-    /// Names this life.
-    pub fn life(&self) -> LifeId {
-        LifeId(hash::score(self.incarnation, &self.name))
+    /// Names this incarnation.
+    pub fn incarnation_id(&self) -> IncarnationId {
+        IncarnationId(hash::score(self.incarnation, &self.name))
     }
 
     /// What changes of it, told so long after it lived.
-    pub fn beat(&self, age: Millis) -> Beat {
-        Beat {
-            life: self.life(),
+    pub fn to_heartbeat(&self, age: Millis) -> Heartbeat {
+        Heartbeat {
+            incarnation_id: self.incarnation_id(),
             heartbeat: self.heartbeat,
             readiness: self.readiness,
             store_answers: self.store_answers,
-            lead_fence: self.lead_fence,
+            leader_fencing_token: self.leader_fencing_token,
             age,
         }
     }
@@ -103,12 +103,12 @@
         (Reverse(self.memory_bytes), &self.name)
     }
 
-    pub(super) fn with_beat(&self, beat: &Beat) -> Member {
+    pub(super) fn with_beat(&self, beat: &Heartbeat) -> Member {
         Member {
             heartbeat: beat.heartbeat,
             readiness: beat.readiness,
             store_answers: beat.store_answers,
-            lead_fence: beat.lead_fence,
+            leader_fencing_token: beat.leader_fencing_token,
             ..self.clone()
         }
     }
--- a/crates/core/src/direct/outage.rs
+++ b/crates/core/src/direct/outage.rs
@@ -9,32 +9,32 @@
 use crate::direct::attempts::COME_BACK_NONE;
 
 /// Part of the time to come back over which callers are spread.
-const SPREAD: f64 = 0.25;
+const JITTER_FRACTION: f64 = 0.25;
 
 /// What is expected of an outage, and what is learned from one that is over.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// How long the first outage is expected to last: the users' groups stand for 1,500 ms once a rank
     /// is lost, and take 600 ms to open again.
-    pub usual: Millis,
+    pub initial_estimate: Millis,
     /// Shortest time to come back.
-    pub least: Millis,
+    pub min_retry_after: Millis,
     /// Longest time to come back.
-    pub most: Millis,
+    pub max_retry_after: Millis,
     /// Outages that are shorter say nothing: one server of many refused.
-    pub noise: Millis,
+    pub min_duration: Millis,
     /// Part of the newest outage in what is expected.
-    pub newest: f64,
+    pub newest_weight: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            usual: Millis(2_100),
-            least: COME_BACK_NONE,
-            most: COME_BACK_MOST,
-            noise: Millis(300),
-            newest: 0.3,
+            initial_estimate: Millis(2_100),
+            min_retry_after: COME_BACK_NONE,
+            max_retry_after: COME_BACK_MOST,
+            min_duration: Millis(300),
+            newest_weight: 0.3,
         }
     }
 }
@@ -43,14 +43,14 @@
 #[derive(Clone, Debug)]
 pub struct Outages {
     config: Config,
-    usual_ms: f64,
+    expected_ms: f64,
     since: Option<Millis>,
 }
 
 impl Outages {
     /// None was seen yet.
     pub fn new(config: Config) -> Outages {
-        Outages { config, usual_ms: config.usual.0 as f64, since: None }
+        Outages { config, expected_ms: config.initial_estimate.0 as f64, since: None }
     }
 
     /// No server could take a request.
@@ -62,23 +62,23 @@
     pub fn ended(&mut self, now: Millis) {
         let Some(since) = self.since.take() else { return };
         let lasted = now.since(since);
-        if lasted >= self.config.noise {
-            self.usual_ms += self.config.newest * (lasted.0 as f64 - self.usual_ms);
+        if lasted >= self.config.min_duration {
+            self.expected_ms += self.config.newest_weight * (lasted.0 as f64 - self.expected_ms);
         }
     }
 
-    /// When a caller that is refused now shall come back, if the service is out. `part` is drawn evenly
+    /// When a caller that is refused now shall come back, if the service is out. `fraction` is drawn evenly
     /// from 0 to 1: callers are spread over a quarter more, or all would come at the same moment.
-    pub fn come_back(&self, now: Millis, part: f64) -> Option<Millis> {
-        let Config { least, most, .. } = self.config;
-        let left_ms = self.usual_ms - now.since(self.since?).0 as f64;
-        let left = Millis(left_ms.max(least.0 as f64) as u64);
-        Some(spread(left, part).min(most))
+    pub fn retry_after(&self, now: Millis, fraction: f64) -> Option<Millis> {
+        let Config { min_retry_after, max_retry_after, .. } = self.config;
+        let left_ms = self.expected_ms - now.since(self.since?).0 as f64;
+        let left = Millis(left_ms.max(min_retry_after.0 as f64) as u64);
+        Some(add_jitter(left, fraction).min(max_retry_after))
     }
 }
 
-/// A time to come back after `left` that callers share: spread over a quarter more, as `part`, drawn evenly
+/// A time to come back after `left` that callers share: spread over a quarter more, as `fraction`, drawn evenly
 /// from 0 to 1, says. Never earlier than `left`.
-pub fn spread(left: Millis, part: f64) -> Millis {
-    left + Millis((left.0 as f64 * SPREAD * part) as u64)
+pub fn add_jitter(left: Millis, fraction: f64) -> Millis {
+    left + Millis((left.0 as f64 * JITTER_FRACTION * fraction) as u64)
 }
--- a/crates/core/src/direct/overtaken.rs
+++ b/crates/core/src/direct/overtaken.rs
@@ -19,26 +19,31 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Shortest wait. Work of plain requests at the users lasts 60 ms, and 300 ms in one of a hundred.
-    pub least: Millis,
+    pub min_wait: Millis,
     /// Shortest wait in usual times to an answer.
-    pub usual_times: f64,
+    pub min_wait_factor: f64,
     /// Later requests that were answered by other servers. One may have been lucky.
-    pub overtakers: usize,
+    pub min_overtakers: usize,
     /// Time between two looks.
-    pub look: Millis,
+    pub check_interval: Millis,
 }
 
 impl Default for Config {
     fn default() -> Self {
-        Config { least: Millis(300), usual_times: 3.0, overtakers: 2, look: Millis(100) }
+        Config {
+            min_wait: Millis(300),
+            min_wait_factor: 3.0,
+            min_overtakers: 2,
+            check_interval: Millis(100),
+        }
     }
 }
 
 /// Answers that are remembered: more than come in the time in which a request is overtaken.
-const MOST_REMEMBERED: usize = 32;
+const MAX_REMEMBERED: usize = 32;
 
 /// How much the newest answer counts in the usual time to one.
-const NEWEST: f64 = 1.0 / 16.0;
+const NEWEST_WEIGHT: f64 = 1.0 / 16.0;
 
 /// An answer that began.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +59,7 @@
     /// It waits on, at least until then.
     Wait(Millis),
     /// It is given up here, and may be sent to another server.
-    Leave,
+    GiveUp,
 }
 
 /// Answers of one service, as one gateway saw them begin.
@@ -62,22 +67,22 @@
 pub struct Heads {
     config: Config,
     /// Time from a request to the beginning of its answer, in ms; 0 while none is known.
-    usual_ms: f64,
+    mean_ms: f64,
     newest: VecDeque<Head>,
 }
 
 impl Heads {
     /// No answer is known.
     pub fn new(config: Config) -> Heads {
-        Heads { config, usual_ms: 0.0, newest: VecDeque::new() }
+        Heads { config, mean_ms: 0.0, newest: VecDeque::new() }
     }
 
     /// An answer to a request that was sent at `sent_at` has begun.
     pub fn began(&mut self, server: Key<Server>, sent_at: Millis, now: Millis) {
         let took_ms = now.since(sent_at).0 as f64;
-        let newest = if self.usual_ms == 0.0 { 1.0 } else { NEWEST };
-        self.usual_ms += (took_ms - self.usual_ms) * newest;
-        if self.newest.len() == MOST_REMEMBERED {
+        let newest = if self.mean_ms == 0.0 { 1.0 } else { NEWEST_WEIGHT };
+        self.mean_ms += (took_ms - self.mean_ms) * newest;
+        if self.newest.len() == MAX_REMEMBERED {
             self.newest.pop_front();
         }
         self.newest.push_back(Head { server, sent_at, came_at: now });
@@ -85,18 +90,18 @@
 
     /// What becomes of a request that was sent to `server` at `sent_at`.
     pub fn next(&self, server: Key<Server>, sent_at: Millis, now: Millis) -> Next {
-        let bound_ms = (self.usual_ms * self.config.usual_times) as u64;
-        let due = sent_at + self.config.least.max(Millis(bound_ms));
+        let bound_ms = (self.mean_ms * self.config.min_wait_factor) as u64;
+        let due = sent_at + self.config.min_wait.max(Millis(bound_ms));
         if now < due {
             return Next::Wait(due);
         }
-        let usual = Millis(self.usual_ms as u64);
+        let usual = Millis(self.mean_ms as u64);
         let overtook = |head: &&Head| {
             head.server != server && head.sent_at > sent_at && head.came_at + usual <= now
         };
         match self.newest.iter().filter(overtook).count() {
-            count if count >= self.config.overtakers => Next::Leave,
-            _ => Next::Wait(now + self.config.look),
+            count if count >= self.config.min_overtakers => Next::GiveUp,
+            _ => Next::Wait(now + self.config.check_interval),
         }
     }
 }
--- a/crates/core/src/direct/permits.rs
+++ b/crates/core/src/direct/permits.rs
@@ -18,7 +18,7 @@
 use crate::clock::Millis;
 use crate::direct::crashes::ServerLife;
 use crate::direct::fingerprint::Fingerprint;
-use crate::direct::members::LifeId;
+use crate::direct::members::IncarnationId;
 use crate::direct::named_limit::Rate;
 
 /// How long a part counts with the one that it was handed to.
@@ -93,7 +93,7 @@
 /// One gateway's side of it: to whom it has handed its own part, and what it gives out itself.
 #[derive(Clone, Debug)]
 pub struct Permits {
-    handed_to: Option<LifeId>,
+    handed_to: Option<IncarnationId>,
     /// Until when its own part is kept for whom it was handed to.
     kept_until: Millis,
     /// Whose parts were handed to this gateway, and until when they count.
@@ -113,7 +113,7 @@
     }
 
     /// A gateway is asked: whether the own part is handed to it.
-    pub fn hand_over(&mut self, to: LifeId, now: Millis) -> bool {
+    pub fn hand_over(&mut self, to: IncarnationId, now: Millis) -> bool {
         if self.handed_to != Some(to) && now < self.kept_until {
             return false;
         }
--- a/crates/core/src/direct/pool.rs
+++ b/crates/core/src/direct/pool.rs
@@ -16,7 +16,7 @@
 use crate::direct::crashes::ServerLife;
 use crate::direct::named_limit::Limited;
 use crate::direct::replica::Revision;
-use crate::direct::slow;
+use crate::direct::slow_servers;
 use crate::routing;
 use crate::routing::Candidate;
 use crate::routing::Report;
@@ -102,7 +102,7 @@
             stalled: Millis(300),
             unreachable: Millis(500),
             most: Millis(4_000),
-            slow: slow::LASTS,
+            slow: slow_servers::REPORT_LIFETIME,
             failing_share: 0.5,
         }
     }
--- a/crates/core/src/direct/relays.rs
+++ b/crates/core/src/direct/relays.rs
@@ -15,12 +15,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// How long a gateway that gave no answer is passed by. Freezes at the users last 3 to 5 s.
-    pub pass_by: Millis,
+    pub skip_for: Millis,
 }
 
 impl Default for Config {
     fn default() -> Self {
-        Config { pass_by: Millis(5_000) }
+        Config { skip_for: Millis(5_000) }
     }
 }
 
@@ -29,7 +29,7 @@
 pub struct Relays {
     config: Config,
     /// Gateways that gave no answer, and until when each is passed by.
-    passed_by: HashMap<IpAddr, Millis>,
+    skipped: HashMap<IpAddr, Millis>,
     /// The one that was used last: all have their turn, since each relay costs it some processor time.
     last: Option<IpAddr>,
 }
@@ -38,9 +38,9 @@
     /// The next of these gateways that is not passed by, in rising order from the one used last; `None`
     /// if there is none.
     pub fn next(&mut self, living: &[IpAddr], now: Millis) -> Option<IpAddr> {
-        self.passed_by.retain(|_, until| *until > now);
+        self.skipped.retain(|_, until| *until > now);
         let mut open: Vec<IpAddr> =
-            living.iter().copied().filter(|relay| !self.passed_by.contains_key(relay)).collect();
+            living.iter().copied().filter(|relay| !self.skipped.contains_key(relay)).collect();
         open.sort_unstable();
         let after_last = open.iter().find(|relay| self.last.is_some_and(|last| **relay > last));
         self.last = after_last.or(open.first()).copied();
@@ -48,7 +48,7 @@
     }
 
     /// A gateway gave no answer: it is passed by for a while.
-    pub fn gave_none(&mut self, relay: IpAddr, now: Millis) {
-        self.passed_by.insert(relay, now + self.config.pass_by);
+    pub fn mark_unanswered(&mut self, relay: IpAddr, now: Millis) {
+        self.skipped.insert(relay, now + self.config.skip_for);
     }
 }
--- a/crates/core/src/direct/replica.rs
+++ b/crates/core/src/direct/replica.rs
@@ -59,7 +59,7 @@
 
 /// A row as it was known, which the store lacks or has in another form since it came back from an older copy.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Lost {
+pub struct LostRow {
     /// The row's key.
     pub key: String,
     /// Its value; `None` if it was removed.
@@ -68,15 +68,15 @@
 
 /// What an update brought.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Taken {
+pub struct Applied {
     /// Keys of the rows that changed.
     pub changed: Vec<String>,
     /// What was known and is lost to the store; empty unless an era began.
-    pub lost: Vec<Lost>,
+    pub lost: Vec<LostRow>,
 }
 
 /// Removals that are remembered for peers which are behind; older ones need a whole copy.
-const MOST_REMOVALS: usize = 256;
+const MAX_REMOVALS: usize = 256;
 
 #[derive(Clone, Debug)]
 struct Row {
@@ -117,18 +117,18 @@
     }
 
     /// Takes an update.
-    pub fn take(&mut self, update: &Update) -> Taken {
+    pub fn apply(&mut self, update: &Update) -> Applied {
         match update.revision.era.cmp(&self.revision.era) {
-            Ordering::Less => Taken::default(),
-            Ordering::Equal => Taken { changed: self.advance(update), lost: Vec::new() },
+            Ordering::Less => Applied::default(),
+            Ordering::Equal => Applied { changed: self.advance(update), lost: Vec::new() },
             // There is nothing in this era yet to which changes could be added.
-            Ordering::Greater if !update.whole => Taken::default(),
+            Ordering::Greater if !update.whole => Applied::default(),
             Ordering::Greater => self.begin_era(update),
         }
     }
 
     /// Takes the first copy of a later era.
-    fn begin_era(&mut self, update: &Update) -> Taken {
+    fn begin_era(&mut self, update: &Update) -> Applied {
         let before = std::mem::take(&mut self.rows);
         self.revision = update.revision;
         self.forgotten = update.revision.count;
@@ -141,8 +141,8 @@
         let changed = keys.into_iter().filter(|key| value(&before, key) != value(&self.rows, key));
         let changed = changed.cloned().collect();
         let lost = before.into_iter().filter(|(key, row)| self.has_lost(key, row));
-        let lost = lost.map(|(key, row)| Lost { key, value: row.value }).collect();
-        Taken { changed, lost }
+        let lost = lost.map(|(key, row)| LostRow { key, value: row.value }).collect();
+        Applied { changed, lost }
     }
 
     /// Whether what was known of a row in an earlier era may have been written after the copy that this era began
@@ -217,7 +217,7 @@
 
     fn forget_removals(&mut self) {
         let removals = self.rows.values().filter(|row| row.value.is_none()).count();
-        if removals <= MOST_REMOVALS {
+        if removals <= MAX_REMOVALS {
             return;
         }
         let removed = |row: &Row| row.value.is_none();
--- a/crates/core/src/direct/slow.rs
+++ b/crates/core/src/direct/slow_servers.rs
@@ -8,15 +8,15 @@
 
 use crate::clock::Millis;
 
-/// How long a finding holds. Findings are told each second; one that leads no more may have told the
+/// How long a finding holds. SlowServerReports are told each second; one that leads no more may have told the
 /// last.
-pub const LASTS: Millis = Millis(4_000);
+pub const REPORT_LIFETIME: Millis = Millis(4_000);
 
 /// What a leader found.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Finding {
+pub struct SlowServerReport {
     /// The leader's fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Rises with each finding of one leader.
     pub number: u64,
     /// Names of the slow servers.
@@ -27,18 +27,19 @@
 
 /// The newest finding for each service.
 #[derive(Clone, Debug, Default)]
-pub struct Findings {
+pub struct SlowServerReports {
     /// With the time at which each was taken.
-    by_service: BTreeMap<String, (Finding, Millis)>,
+    by_service: BTreeMap<String, (SlowServerReport, Millis)>,
 }
 
-impl Findings {
+impl SlowServerReports {
     /// Takes a finding; returns whether it holds and is newer than what was known. One that holds no
     /// more is not taken: whoever has just started is told of servers that were slow long ago, too.
-    pub fn take(&mut self, service: &str, finding: &Finding, now: Millis) -> bool {
-        let known = self.by_service.get(service).map(|(known, _)| (known.fence, known.number));
-        let newer = known.is_none_or(|known| (finding.fence, finding.number) > known);
-        let holds = finding.age < LASTS;
+    pub fn apply(&mut self, service: &str, finding: &SlowServerReport, now: Millis) -> bool {
+        let known =
+            self.by_service.get(service).map(|(known, _)| (known.fencing_token, known.number));
+        let newer = known.is_none_or(|known| (finding.fencing_token, finding.number) > known);
+        let holds = finding.age < REPORT_LIFETIME;
         if newer && holds {
             self.by_service.insert(service.to_owned(), (finding.clone(), now));
         }
@@ -46,11 +47,11 @@
     }
 
     /// Those that hold, by service, each with its age.
-    pub fn all(&self, now: Millis) -> impl Iterator<Item = (&str, Finding)> {
+    pub fn current(&self, now: Millis) -> impl Iterator<Item = (&str, SlowServerReport)> {
         let aged = self.by_service.iter().map(move |(service, (finding, taken_at))| {
             let age = finding.age + now.since(*taken_at);
-            (service.as_str(), Finding { age, ..finding.clone() })
+            (service.as_str(), SlowServerReport { age, ..finding.clone() })
         });
-        aged.filter(|(_, finding)| finding.age < LASTS)
+        aged.filter(|(_, finding)| finding.age < REPORT_LIFETIME)
     }
 }
--- a/crates/core/src/direct/unconfirmed.rs
+++ b/crates/core/src/direct/unconfirmed.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::clock::Millis;
-use crate::direct::replica::Lost;
+use crate::direct::replica::LostRow;
 use crate::direct::replica::Replica;
 use crate::direct::replica::Revision;
 
@@ -37,8 +37,8 @@
 impl Unconfirmed {
     /// The store has come back from a copy that lacks these. What was not confirmed before stays so: the copy is
     /// older still.
-    pub fn begin(&mut self, lost: Vec<Lost>, replica: &Replica, now: Millis) {
-        for Lost { key, value } in lost {
+    pub fn begin(&mut self, lost: Vec<LostRow>, replica: &Replica, now: Millis) {
+        for LostRow { key, value } in lost {
             let row = Row { value, told: Revision::default(), until: Millis::ZERO };
             self.rows.entry(key).or_insert(row);
         }
--- a/crates/core/tests/departed.rs
+++ b/crates/core/tests/departed.rs
@@ -126,21 +126,21 @@
     let mut replica = Replica::default();
     let on_its_way =
         Update { revision: 1.into(), whole: false, changes: vec![row(0, 1, Some("ready"))] };
-    replica.take(&on_its_way);
+    replica.apply(&on_its_way);
     // More removals than are remembered.
     for number in 0..400 {
         let revision = 2 + 2 * number;
         let listed = row(number, revision, Some("ready"));
         let removed = row(number, revision + 1, None);
-        replica.take(&Update { revision: revision.into(), whole: false, changes: vec![listed] });
-        replica.take(&Update {
+        replica.apply(&Update { revision: revision.into(), whole: false, changes: vec![listed] });
+        replica.apply(&Update {
             revision: (revision + 1).into(),
             whole: false,
             changes: vec![removed],
         });
     }
     assert_eq!(replica.rows().count(), 0);
-    assert!(replica.take(&on_its_way).changed.is_empty());
+    assert!(replica.apply(&on_its_way).changed.is_empty());
     assert_eq!(replica.get("s0"), None, "it was removed long ago");
 }
 
@@ -150,16 +150,16 @@
 fn gateways_whose_rows_are_lost_count_among_those_that_share() {
     let mut members = Members::new(Config::default(), numbered(0, 1));
     let listed: Vec<_> = (0..7).map(|number| numbered(number, 1)).collect();
-    members.take_table(&listed, Millis::ZERO);
-    assert_eq!(members.all(Millis::ZERO), Some(7));
+    members.apply_table(&listed, Millis::ZERO);
+    assert_eq!(members.fleet_size(Millis::ZERO), Some(7));
     for _ in 0..2 {
         members.begin_era(Millis(100));
-        members.take_table(&listed[..2], Millis(200));
-        assert_eq!(members.all(Millis(200)), Some(7));
-        members.forget(Millis(100_000));
-        assert_eq!(members.all(Millis(100_000)), Some(7));
+        members.apply_table(&listed[..2], Millis(200));
+        assert_eq!(members.fleet_size(Millis(200)), Some(7));
+        members.remove_expired(Millis(100_000));
+        assert_eq!(members.fleet_size(Millis(100_000)), Some(7));
     }
     // Those that nobody wrote again are gone by the time at which their rows would be removed.
-    members.take_table(&listed[..3], Millis(700_200));
-    assert_eq!(members.all(Millis(700_200)), Some(3));
+    members.apply_table(&listed[..3], Millis(700_200));
+    assert_eq!(members.fleet_size(Millis(700_200)), Some(3));
 }
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -20,8 +20,8 @@
 use hooktrestle_core::direct::pool::Listed;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
-use hooktrestle_core::direct::slow::Finding;
-use hooktrestle_core::direct::slow::Findings;
+use hooktrestle_core::direct::slow_servers::SlowServerReport;
+use hooktrestle_core::direct::slow_servers::SlowServerReports;
 use hooktrestle_core::util::arena::Key;
 use hooktrestle_schema::Cause;
 use hooktrestle_schema::Verdict;
@@ -270,15 +270,20 @@
     assert!(!pool.is_slow(b, Millis(9_000)));
 }
 
-fn finding(fence: u64, number: u64, age_ms: u64) -> Finding {
-    Finding { fence, number, servers: vec!["a".to_owned()], age: Millis(age_ms) }
+fn finding(fence: u64, number: u64, age_ms: u64) -> SlowServerReport {
+    SlowServerReport {
+        fencing_token: fence,
+        number,
+        servers: vec!["a".to_owned()],
+        age: Millis(age_ms),
+    }
 }
 
 #[test]
 fn the_newest_finding_of_the_newest_leader_counts() {
-    let mut findings = Findings::default();
+    let mut findings = SlowServerReports::default();
     let mut take =
-        |service, fence, number| findings.take(service, &finding(fence, number, 0), Millis::ZERO);
+        |service, fence, number| findings.apply(service, &finding(fence, number, 0), Millis::ZERO);
     assert!(take("hints", 2, 5));
     assert!(!take("hints", 2, 5), "told again by another gateway");
     assert!(!take("hints", 1, 9), "of a leader that was replaced");
@@ -286,17 +291,18 @@
     assert!(take("notes", 1, 1), "each service by itself");
 }
 
-/// Findings were told for ever, and without their age: a gateway that started long after a leader had
+/// SlowServerReports were told for ever, and without their age: a gateway that started long after a leader had
 /// gone left servers alone that had been slow once.
 #[test]
 fn a_finding_is_as_old_as_it_was_told_and_is_told_no_more_once_it_holds_no_more() {
-    let mut findings = Findings::default();
-    assert!(findings.take("hints", &finding(2, 5, 3_000), Millis(0)));
-    let told: Vec<Finding> = findings.all(Millis(900)).map(|(_, finding)| finding).collect();
+    let mut findings = SlowServerReports::default();
+    assert!(findings.apply("hints", &finding(2, 5, 3_000), Millis(0)));
+    let told: Vec<SlowServerReport> =
+        findings.current(Millis(900)).map(|(_, finding)| finding).collect();
     assert_eq!(told, [finding(2, 5, 3_900)]);
-    assert_eq!(findings.all(Millis(1_000)).count(), 0);
-    let mut begun = Findings::default();
-    assert!(!begun.take("hints", &finding(2, 5, 4_000), Millis(0)));
+    assert_eq!(findings.current(Millis(1_000)).count(), 0);
+    let mut begun = SlowServerReports::default();
+    assert!(!begun.apply("hints", &finding(2, 5, 4_000), Millis(0)));
     let mut pool = pool(&["a", "b"]);
     let [a, _] = pool.present_of("hints")[..] else { panic!("two servers") };
     pool.set_slow("hints", &["a".to_owned()], Millis(3_000), Millis(0));
--- a/crates/core/tests/direct_tables.rs
+++ b/crates/core/tests/direct_tables.rs
@@ -136,7 +136,7 @@
                 _ => replicas[1 - index].since(known),
             };
             if let Some(update) = update {
-                replicas[index].take(&update);
+                replicas[index].apply(&update);
             }
             prop_assert!(replicas[index].revision() >= known);
             let count = replicas[index].revision().count;
@@ -150,11 +150,11 @@
     let mut history = History::default();
     history.change(1, Some(1));
     let mut behind = Replica::default();
-    behind.take(&history.whole(1));
+    behind.apply(&history.whole(1));
     history.change(1, None);
     history.change(2, Some(2));
     let mut fresh = Replica::default();
-    fresh.take(&history.whole(3));
-    behind.take(&fresh.since(behind.revision()).unwrap());
+    fresh.apply(&history.whole(3));
+    behind.apply(&fresh.since(behind.revision()).unwrap());
     assert_eq!(rows(&behind), history.rows(3));
 }
--- a/crates/core/tests/eras.rs
+++ b/crates/core/tests/eras.rs
@@ -7,7 +7,7 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::fencing::next_token;
 use hooktrestle_core::direct::replica::Change;
-use hooktrestle_core::direct::replica::Lost;
+use hooktrestle_core::direct::replica::LostRow;
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
@@ -122,16 +122,16 @@
                     let era = newest.era.saturating_sub(eras);
                     let all = history.0[era as usize].len() as u64;
                     let revision = Revision { era, count: all.saturating_sub(late).max(1) };
-                    replicas[who].take(&history.whole(revision));
+                    replicas[who].apply(&history.whole(revision));
                 }
                 Step::Follow(who) => {
                     if let Some(update) = history.since(before[who], history.newest()) {
-                        replicas[who].take(&update);
+                        replicas[who].apply(&update);
                     }
                 }
                 Step::Hear(from, to) => {
                     if let Some(update) = replicas[from].since(before[to]) {
-                        replicas[to].take(&update);
+                        replicas[to].apply(&update);
                     }
                 }
             }
@@ -167,8 +167,8 @@
     Change { key: key.to_owned(), revision, value: value.map(str::to_owned) }
 }
 
-fn lost(key: &str, value: Option<&str>) -> Lost {
-    Lost { key: key.to_owned(), value: value.map(str::to_owned) }
+fn lost(key: &str, value: Option<&str>) -> LostRow {
+    LostRow { key: key.to_owned(), value: value.map(str::to_owned) }
 }
 
 /// Guards against what was known of rows being forgotten with the era, and against its lasting for ever.
@@ -181,8 +181,8 @@
         row("gone", 8, None),
         row("came", 9, Some("ready")),
     ];
-    replica.take(&Update { revision: 9.into(), whole: true, changes });
-    replica.take(&Update {
+    replica.apply(&Update { revision: 9.into(), whole: true, changes });
+    replica.apply(&Update {
         revision: 10.into(),
         whole: false,
         changes: vec![row("gone", 10, None)],
@@ -191,7 +191,7 @@
         let listed = ["same", "left", "gone"].map(|key| row(key, 2, Some("ready")));
         Update { revision: Revision { era: 1, count }, whole: true, changes: listed.to_vec() }
     };
-    let taken = replica.take(&copy(5));
+    let taken = replica.apply(&copy(5));
     let expected =
         vec![lost("came", Some("ready")), lost("gone", None), lost("left", Some("leaving"))];
     assert_eq!(taken.lost, expected);
@@ -207,7 +207,7 @@
     assert!(held.settle(&replica, begin + Millis(1_900)).is_empty());
     // A second drill: what was held stays so, for as long again.
     let second = Update { revision: Revision { era: 2, count: 4 }, ..copy(0) };
-    let taken = replica.take(&second);
+    let taken = replica.apply(&second);
     held.begin(taken.lost, &replica, begin + Millis(1_900));
     assert_eq!(values(&held, &replica), known);
     // One writes again, one does not come back, the other two lapse.
@@ -216,7 +216,7 @@
         whole: false,
         changes: vec![row("left", 5, Some("leaving")), row("gone", 6, None)],
     };
-    replica.take(&again);
+    replica.apply(&again);
     assert_eq!(held.settle(&replica, begin + Millis(2_000)), ["gone", "left"]);
     assert_eq!(held.settle(&replica, begin + Millis(3_900)), ["came"]);
     assert!(held.is_empty());
--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -1,16 +1,16 @@
 //! Gateways that exchange news without a network: they start, go off, are cut off from each other.
 
-pub mod news;
+pub mod gossip;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use gossip::exchange;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::members::Config;
 use hooktrestle_core::direct::members::Member;
 use hooktrestle_core::direct::members::Members;
 use hooktrestle_core::direct::members::Readiness;
-use news::exchange;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -43,7 +43,7 @@
         memory_bytes: 0,
         readiness: Readiness::Ready,
         store_answers: true,
-        lead_fence: 0,
+        leader_fencing_token: 0,
     }
 }
 
@@ -103,7 +103,7 @@
         let own = numbered(number, self.now.0);
         self.listed.insert(number, own.clone());
         let mut members = Members::new(Config::default(), own);
-        members.take_table(&self.table(), Millis::ZERO);
+        members.apply_table(&self.table(), Millis::ZERO);
         let next_round = self.now + Millis(self.rng.random_range(0..600));
         let process = Process { members, started_at: self.now, next_round, rounds: 0 };
         self.running[number] = Some(process);
@@ -149,13 +149,13 @@
     fn round(&mut self, number: usize, process: &mut Process) {
         let now = process.clock(self.now);
         let members = &mut process.members;
-        process.next_round = process.next_round + members.round();
+        process.next_round = process.next_round + members.gossip_interval();
         process.rounds += 1;
-        members.forget(now);
-        members.beat();
-        if now.0 % TABLE_EVERY_MS < members.round().0 {
+        members.remove_expired(now);
+        members.advance_heartbeat();
+        if now.0 % TABLE_EVERY_MS < members.gossip_interval().0 {
             self.listed.entry(number).or_insert_with(|| members.own().clone());
-            let given_up = members.take_table(&self.table(), now);
+            let given_up = members.apply_table(&self.table(), now);
             self.listed.retain(|_, listed| !given_up.contains(&listed.name));
         }
         let seed = (process.rounds.is_multiple_of(SEED_ROUNDS)).then(|| {
@@ -163,16 +163,16 @@
             address(seed)
         });
         let drawn = seed.filter(|at| *at != address(number));
-        let Some(peer) = drawn.or_else(|| members.draw(now, &mut self.rng)) else { return };
+        let Some(peer) = drawn.or_else(|| members.random_peer(now, &mut self.rng)) else { return };
         let asked = usize::from(peer.port() - FIRST_PORT);
         let is_cut = self.cut.is_some_and(|first| (asked < first) != (number < first));
         match self.running[asked].as_mut().filter(|_| !is_cut) {
             Some(other) => {
                 let others_now = other.clock(self.now);
                 exchange((&mut *members, now), (&mut other.members, others_now));
-                members.exchanged(now);
+                members.record_exchange(now);
             }
-            None => members.unreachable(peer),
+            None => members.mark_unreachable(peer),
         }
     }
 
@@ -183,7 +183,7 @@
         for number in self.running() {
             let Some(process) = &self.running[number] else { continue };
             let given = process.members.for_callers("hall", process.clock(self.now));
-            let bound = Config::default().suspect + process.members.spread_time();
+            let bound = Config::default().suspect_after + process.members.propagation_time();
             for gone in self.gone() {
                 let long_off = self.now.since(self.off_at[gone]) >= bound;
                 if long_off && given.contains(&address(gone)) {
--- a/crates/core/tests/frozen_givers.rs
+++ b/crates/core/tests/frozen_givers.rs
@@ -122,7 +122,7 @@
         };
         let reply = self.give(rank, guarded, content, relay.map(number_of));
         if let (Reply::Nothing, Some(relay)) = (reply, relay) {
-            self.relays.gave_none(relay, self.now_ms());
+            self.relays.mark_unanswered(relay, self.now_ms());
         }
         reply
     }
--- a/crates/core/tests/gateways.rs
+++ b/crates/core/tests/gateways.rs
@@ -1,19 +1,19 @@
 //! Which gateways a gateway knows of, and what follows: whom callers are given, who leads, who follows
 //! the store closely.
 
-#[path = "fleet/news.rs"]
-mod news;
+#[path = "fleet/gossip.rs"]
+mod gossip;
 
 use std::net::SocketAddr;
 
+use gossip::exchange;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::members::Config;
+use hooktrestle_core::direct::members::LivenessChange;
 use hooktrestle_core::direct::members::Member;
+use hooktrestle_core::direct::members::MemberRecord;
 use hooktrestle_core::direct::members::Members;
 use hooktrestle_core::direct::members::Readiness;
-use hooktrestle_core::direct::members::Sighting;
-use hooktrestle_core::direct::members::Word;
-use news::exchange;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -22,7 +22,7 @@
     let port = 1_000 + u16::from(name.as_bytes()[0]);
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     Member {
-        lead_fence: 0,
+        leader_fencing_token: 0,
         store_answers: true,
         name: name.to_owned(),
         incarnation: 1,
@@ -36,8 +36,8 @@
 }
 
 /// What is told of a gateway that has just been heard.
-fn fresh(member: &Member) -> Word {
-    Word { member: member.clone(), age: Millis::ZERO }
+fn fresh(member: &Member) -> MemberRecord {
+    MemberRecord { member: member.clone(), age: Millis::ZERO }
 }
 
 /// A gateway in one data centre with all others.
@@ -50,18 +50,21 @@
     let now = Millis(10_000);
     let mut members = Members::new(Config::default(), neighbour("d"));
     assert!(members.follows_closely(now), "it has heard of no other");
-    members.exchanged(now);
-    members.hear(&fresh(&neighbour("a")), now);
-    members.hear(&fresh(&neighbour("b")), now);
-    members.hear(&fresh(&member("c", 1)), now);
+    members.record_exchange(now);
+    members.apply_record(&fresh(&neighbour("a")), now);
+    members.apply_record(&fresh(&neighbour("b")), now);
+    members.apply_record(&fresh(&member("c", 1)), now);
     assert!(members.follows_closely(now), "two of its data centre come before it");
-    members.hear(&fresh(&neighbour("c2")), now);
+    members.apply_record(&fresh(&neighbour("c2")), now);
     assert!(!members.follows_closely(now));
-    members.hear(&fresh(&Member { heartbeat: 2, store_answers: false, ..neighbour("b") }), now);
+    members.apply_record(
+        &fresh(&Member { heartbeat: 2, store_answers: false, ..neighbour("b") }),
+        now,
+    );
     assert!(members.follows_closely(now), "the store does not answer one of them");
-    members.hear(&fresh(&Member { heartbeat: 3, ..neighbour("b") }), now);
+    members.apply_record(&fresh(&Member { heartbeat: 3, ..neighbour("b") }), now);
     assert!(!members.follows_closely(now));
-    members.unreachable(neighbour("a").peers_at);
+    members.mark_unreachable(neighbour("a").peers_at);
     assert!(members.follows_closely(now), "one of them cannot be reached");
 }
 
@@ -69,42 +72,43 @@
 fn a_gateway_that_exchanges_no_news_follows_the_store_closely() {
     let mut members = Members::new(Config::default(), neighbour("d"));
     for name in ["a", "b", "c"] {
-        members.hear(&fresh(&neighbour(name)), Millis(1_000));
+        members.apply_record(&fresh(&neighbour(name)), Millis(1_000));
     }
-    members.exchanged(Millis(1_000));
+    members.record_exchange(Millis(1_000));
     assert!(!members.follows_closely(Millis(2_400)));
     assert!(members.follows_closely(Millis(2_500)));
 }
 
 #[test]
 fn a_gateway_whose_heartbeat_stands_still_is_not_given_to_callers() {
-    let config = Config { suspect: Millis(3_000), forget: Millis(60_000), ..Config::default() };
+    let config =
+        Config { suspect_after: Millis(3_000), forget_after: Millis(60_000), ..Config::default() };
     let mut members = Members::new(config, member("a", 1));
     members.set_readiness(Readiness::Ready);
-    members.hear(&fresh(&member("b", 1)), Millis(0));
+    members.apply_record(&fresh(&member("b", 1)), Millis(0));
     let both = members.for_callers("hall-b", Millis(1_000));
     assert_eq!(both[0], member("b", 1).callers_at, "the nearest comes first");
     // The same heartbeat, told again by a third, shows nothing.
-    members.hear(&fresh(&member("b", 1)), Millis(2_900));
+    members.apply_record(&fresh(&member("b", 1)), Millis(2_900));
     assert_eq!(members.for_callers("hall-b", Millis(3_000)), [member("a", 1).callers_at]);
-    members.hear(&fresh(&member("b", 2)), Millis(3_100));
+    members.apply_record(&fresh(&member("b", 2)), Millis(3_100));
     assert_eq!(members.for_callers("hall-b", Millis(3_200)).len(), 2);
 }
 
 #[test]
 fn a_look_tells_who_is_seen_otherwise_than_before() {
     let mut members = Members::new(Config::default(), member("a", 1));
-    members.hear(&fresh(&member("b", 7)), Millis(0));
+    members.apply_record(&fresh(&member("b", 7)), Millis(0));
     let look = |members: &mut Members, now| {
-        members.forget(now);
-        let sightings = members.look(now);
-        sightings.iter().map(Sighting::to_string).collect::<Vec<String>>()
+        members.remove_expired(now);
+        let sightings = members.liveness_changes(now);
+        sightings.iter().map(LivenessChange::to_string).collect::<Vec<String>>()
     };
     assert_eq!(look(&mut members, Millis(100)), ["b lives at heartbeat 7"]);
-    members.hear(&fresh(&member("b", 8)), Millis(600));
+    members.apply_record(&fresh(&member("b", 8)), Millis(600));
     assert!(look(&mut members, Millis(600)).is_empty());
     assert_eq!(look(&mut members, Millis(3_600)), ["b is silent at heartbeat 8"]);
-    members.take_table(&[member("c", 0)], Millis(3_700));
+    members.apply_table(&[member("c", 0)], Millis(3_700));
     assert_eq!(look(&mut members, Millis(3_700)), ["c is silent at heartbeat 0"]);
     assert_eq!(look(&mut members, Millis(60_600)), ["b is forgotten at heartbeat 8"]);
 }
@@ -112,7 +116,7 @@
 #[test]
 fn a_restarted_gateway_outlives_the_word_of_its_earlier_process() {
     let mut members = Members::new(Config::default(), member("a", 0));
-    members.hear(&fresh(&Member { incarnation: 9, ..member("a", 55) }), Millis(0));
+    members.apply_record(&fresh(&Member { incarnation: 9, ..member("a", 55) }), Millis(0));
     assert_eq!(members.own().incarnation, 10);
 }
 
@@ -121,62 +125,70 @@
     let mut members = Members::new(Config::default(), member("a", 1));
     members.set_readiness(Readiness::Starting);
     assert_eq!(members.for_callers("x", Millis(0)), [member("a", 1).callers_at]);
-    members.hear(&fresh(&member("b", 1)), Millis(0));
+    members.apply_record(&fresh(&member("b", 1)), Millis(0));
     assert_eq!(members.for_callers("x", Millis(0)), [member("b", 1).callers_at]);
 }
 
 #[test]
 fn whoever_leads_goes_on_until_it_is_silent() {
-    let config = Config { suspect: Millis(3_000), forget: Millis(60_000), ..Config::default() };
+    let config =
+        Config { suspect_after: Millis(3_000), forget_after: Millis(60_000), ..Config::default() };
     let mut members = Members::new(config, member("b", 1));
     members.set_readiness(Readiness::Ready);
-    assert!(members.shall_lead(Millis(0)), "it knows no other");
-    members.hear(&fresh(&Member { lead_fence: 7, ..member("c", 1) }), Millis(0));
-    assert!(!members.shall_lead(Millis(100)), "another leads");
-    members.hear(&fresh(&member("a", 1)), Millis(2_000));
-    assert!(!members.shall_lead(Millis(3_500)), "nobody leads, and another is first by name");
-    assert!(members.shall_lead(Millis(6_000)), "all others are silent");
-    members.begin_lead(9);
-    members.hear(&fresh(&member("a", 2)), Millis(6_100));
-    assert!(members.shall_lead(Millis(6_200)), "it leads, though another is first by name");
-    members.hear(&fresh(&Member { lead_fence: 8, ..member("a", 3) }), Millis(6_300));
-    assert!(members.shall_lead(Millis(6_400)), "the other has a lower token");
-    members.hear(&fresh(&Member { lead_fence: 10, ..member("a", 4) }), Millis(6_500));
-    assert!(!members.shall_lead(Millis(6_600)), "the other has a higher token");
-    members.end_lead(9);
+    assert!(members.should_lead(Millis(0)), "it knows no other");
+    members.apply_record(&fresh(&Member { leader_fencing_token: 7, ..member("c", 1) }), Millis(0));
+    assert!(!members.should_lead(Millis(100)), "another leads");
+    members.apply_record(&fresh(&member("a", 1)), Millis(2_000));
+    assert!(!members.should_lead(Millis(3_500)), "nobody leads, and another is first by name");
+    assert!(members.should_lead(Millis(6_000)), "all others are silent");
+    members.begin_leadership(9);
+    members.apply_record(&fresh(&member("a", 2)), Millis(6_100));
+    assert!(members.should_lead(Millis(6_200)), "it leads, though another is first by name");
     members
-        .hear(&fresh(&Member { readiness: Readiness::Leaving, ..member("a", 5) }), Millis(6_700));
-    assert!(members.shall_lead(Millis(6_800)), "who leaves leads no more");
+        .apply_record(&fresh(&Member { leader_fencing_token: 8, ..member("a", 3) }), Millis(6_300));
+    assert!(members.should_lead(Millis(6_400)), "the other has a lower token");
+    members.apply_record(
+        &fresh(&Member { leader_fencing_token: 10, ..member("a", 4) }),
+        Millis(6_500),
+    );
+    assert!(!members.should_lead(Millis(6_600)), "the other has a higher token");
+    members.end_leadership(9);
+    members.apply_record(
+        &fresh(&Member { readiness: Readiness::Leaving, ..member("a", 5) }),
+        Millis(6_700),
+    );
+    assert!(members.should_lead(Millis(6_800)), "who leaves leads no more");
 }
 
 #[test]
 fn whoever_the_store_does_not_answer_claims_no_lead() {
     let mut members = Members::new(Config::default(), member("b", 1));
     members.set_readiness(Readiness::Ready);
-    members.hear(&fresh(&member("a", 1)), Millis(0));
-    assert!(!members.shall_lead(Millis(100)), "another is first by name");
-    members.hear(&fresh(&Member { store_answers: false, ..member("a", 2) }), Millis(200));
-    assert!(members.shall_lead(Millis(300)), "that one could not claim it");
+    members.apply_record(&fresh(&member("a", 1)), Millis(0));
+    assert!(!members.should_lead(Millis(100)), "another is first by name");
+    members.apply_record(&fresh(&Member { store_answers: false, ..member("a", 2) }), Millis(200));
+    assert!(members.should_lead(Millis(300)), "that one could not claim it");
     members.set_store_answers(false);
-    assert!(!members.shall_lead(Millis(300)));
-    members.begin_lead(1);
-    assert!(members.shall_lead(Millis(300)), "whoever leads needs no store");
+    assert!(!members.should_lead(Millis(300)));
+    members.begin_leadership(1);
+    assert!(members.should_lead(Millis(300)), "whoever leads needs no store");
 }
 
 #[test]
 fn a_lead_that_is_not_told_goes_on_until_another_gateway_has_it() {
     let mut members = Members::new(Config::default(), member("b", 1));
     members.set_readiness(Readiness::Ready);
-    members.hear(&fresh(&member("a", 1)), Millis(0));
-    members.begin_lead(3);
-    members.tell_lead(false);
-    assert_eq!(members.own().lead_fence, 0, "others do not hear of it");
-    assert!(members.shall_lead(Millis(100)), "nobody else leads");
-    members.tell_lead(true);
-    assert_eq!(members.own().lead_fence, 3);
-    members.tell_lead(false);
-    members.hear(&fresh(&Member { lead_fence: 4, ..member("a", 2) }), Millis(200));
-    assert!(!members.shall_lead(Millis(300)));
+    members.apply_record(&fresh(&member("a", 1)), Millis(0));
+    members.begin_leadership(3);
+    members.advertise_leadership(false);
+    assert_eq!(members.own().leader_fencing_token, 0, "others do not hear of it");
+    assert!(members.should_lead(Millis(100)), "nobody else leads");
+    members.advertise_leadership(true);
+    assert_eq!(members.own().leader_fencing_token, 3);
+    members.advertise_leadership(false);
+    members
+        .apply_record(&fresh(&Member { leader_fencing_token: 4, ..member("a", 2) }), Millis(200));
+    assert!(!members.should_lead(Millis(300)));
 }
 
 #[test]
@@ -184,30 +196,34 @@
     let able = |memory_bytes, name| Member { memory_bytes, store_answers: true, ..member(name, 1) };
     let mut members = Members::new(Config::default(), able(512, "c"));
     members.set_readiness(Readiness::Ready);
-    members.hear(&fresh(&able(160, "a")), Millis(0));
-    members.hear(&fresh(&able(0, "b")), Millis(0));
-    assert!(members.shall_lead(Millis(100)), "it has more than those before it by name");
-    assert_eq!(members.before(), 0);
-    members.hear(&fresh(&able(512, "d")), Millis(100));
-    assert!(members.shall_lead(Millis(200)));
-    members.hear(&fresh(&able(512, "b2")), Millis(200));
-    assert!(!members.shall_lead(Millis(300)), "as much, and before it by name");
-    assert_eq!(members.before(), 1);
-    members.hear(&fresh(&Member { lead_fence: 3, ..able(160, "a") }), Millis(300));
-    members.hear(&fresh(&Member { heartbeat: 2, lead_fence: 3, ..able(160, "a") }), Millis(300));
-    members.begin_lead(2);
-    assert!(!members.shall_lead(Millis(400)), "whoever leads stays, whatever it has");
+    members.apply_record(&fresh(&able(160, "a")), Millis(0));
+    members.apply_record(&fresh(&able(0, "b")), Millis(0));
+    assert!(members.should_lead(Millis(100)), "it has more than those before it by name");
+    assert_eq!(members.count_preferred_leaders(), 0);
+    members.apply_record(&fresh(&able(512, "d")), Millis(100));
+    assert!(members.should_lead(Millis(200)));
+    members.apply_record(&fresh(&able(512, "b2")), Millis(200));
+    assert!(!members.should_lead(Millis(300)), "as much, and before it by name");
+    assert_eq!(members.count_preferred_leaders(), 1);
+    members
+        .apply_record(&fresh(&Member { leader_fencing_token: 3, ..able(160, "a") }), Millis(300));
+    members.apply_record(
+        &fresh(&Member { heartbeat: 2, leader_fencing_token: 3, ..able(160, "a") }),
+        Millis(300),
+    );
+    members.begin_leadership(2);
+    assert!(!members.should_lead(Millis(400)), "whoever leads stays, whatever it has");
 }
 
 #[test]
 fn the_end_of_an_earlier_lead_does_not_end_the_next() {
     let mut members = Members::new(Config::default(), member("a", 1));
-    members.begin_lead(3);
-    members.begin_lead(4);
-    members.end_lead(3);
-    assert_eq!(members.own().lead_fence, 4);
-    members.end_lead(4);
-    assert_eq!(members.own().lead_fence, 0);
+    members.begin_leadership(3);
+    members.begin_leadership(4);
+    members.end_leadership(3);
+    assert_eq!(members.own().leader_fencing_token, 4);
+    members.end_leadership(4);
+    assert_eq!(members.own().leader_fencing_token, 0);
 }
 
 /// Two of these gateways exchange news.
@@ -227,7 +243,7 @@
     };
     let new = |index| Members::new(Config::default(), named(index));
     let mut all: Vec<Members> = (0..gateways).map(new).collect();
-    all[1..].iter_mut().for_each(|members| members.hear(&fresh(&named(0)), Millis::ZERO));
+    all[1..].iter_mut().for_each(|members| members.apply_record(&fresh(&named(0)), Millis::ZERO));
     let mut due: Vec<u64> = (0..gateways).map(|_| rng.random_range(0..600)).collect();
     let (mut silent, mut pairs) = (0, 0);
     for now in (0..14_000).step_by(10).map(Millis) {
@@ -235,14 +251,14 @@
             if due[asks] > now.0 {
                 continue;
             }
-            all[asks].beat();
-            due[asks] = now.0 + all[asks].round().0;
-            if let Some(drawn) = all[asks].draw(now, &mut rng) {
+            all[asks].advance_heartbeat();
+            due[asks] = now.0 + all[asks].gossip_interval().0;
+            if let Some(drawn) = all[asks].random_peer(now, &mut rng) {
                 exchange_between(&mut all, asks, usize::from(drawn.port() - 1_000), now);
             }
         }
         if now.0 >= 10_000 && now.0.is_multiple_of(500) {
-            silent += all.iter().map(|members| gateways - members.living(now)).sum::<usize>();
+            silent += all.iter().map(|members| gateways - members.count_alive(now)).sum::<usize>();
             pairs += gateways * (gateways - 1);
         }
     }
@@ -263,23 +279,30 @@
     let now = Millis(1_000);
     let mut a = Members::new(Config::default(), member("a", 3));
     let mut b = Members::new(Config::default(), member("b", 4));
-    assert_eq!(b.hear_beats(&a.beats(now), now), [a.own().life()], "it is not known yet");
-    b.hear(&a.own_word(), now);
-    a.begin_lead(9);
-    a.beat();
+    assert_eq!(
+        b.apply_heartbeats(&a.heartbeats(now), now),
+        [a.own().incarnation_id()],
+        "it is not known yet"
+    );
+    b.apply_record(&a.own_record(), now);
+    a.begin_leadership(9);
+    a.advance_heartbeat();
     a.set_readiness(Readiness::Leaving);
-    assert!(b.hear_beats(&a.beats(now), now).is_empty());
-    assert_eq!(b.named(&[a.own().life()], now), [a.own_word()]);
-    assert_eq!(b.lacking(&a.beats(now), now), [b.own_word()]);
+    assert!(b.apply_heartbeats(&a.heartbeats(now), now).is_empty());
+    assert_eq!(b.records_of(&[a.own().incarnation_id()], now), [a.own_record()]);
+    assert_eq!(b.records_missing_from(&a.heartbeats(now), now), [b.own_record()]);
     // What was heard before it does not come back.
-    let old = Member { heartbeat: 3, lead_fence: 0, ..a.own().clone() };
-    b.hear_beats(&[old.beat(Millis::ZERO)], now);
-    assert_eq!(b.named(&[a.own().life()], now), [a.own_word()]);
+    let old = Member { heartbeat: 3, leader_fencing_token: 0, ..a.own().clone() };
+    b.apply_heartbeats(&[old.to_heartbeat(Millis::ZERO)], now);
+    assert_eq!(b.records_of(&[a.own().incarnation_id()], now), [a.own_record()]);
     // Another process of the same instance is another life, and the earlier one is known no more.
     let next = Member { incarnation: 7, heartbeat: 0, ..a.own().clone() };
-    b.hear(&fresh(&next), now);
-    assert_eq!(b.hear_beats(&a.beats(now), now), [a.own().life()]);
-    assert_eq!(b.named(&[a.own().life(), next.life()], now), [fresh(&next)]);
+    b.apply_record(&fresh(&next), now);
+    assert_eq!(b.apply_heartbeats(&a.heartbeats(now), now), [a.own().incarnation_id()]);
+    assert_eq!(
+        b.records_of(&[a.own().incarnation_id(), next.incarnation_id()], now),
+        [fresh(&next)]
+    );
 }
 
 #[test]
@@ -287,13 +310,13 @@
     let now = Millis(1_000);
     let mut members = Members::new(Config::default(), neighbour("d"));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    members.hear(&fresh(&member("a", 1)), now);
-    assert_eq!(members.draw_near(now, &mut rng), None, "nobody lives there");
+    members.apply_record(&fresh(&member("a", 1)), now);
+    assert_eq!(members.random_local_peer(now, &mut rng), None, "nobody lives there");
     for name in ["b", "c"] {
-        members.hear(&fresh(&neighbour(name)), now);
+        members.apply_record(&fresh(&neighbour(name)), now);
     }
     let near = ["b", "c"].map(|name| Some(neighbour(name).peers_at));
-    let drawn: Vec<_> = (0..40).map(|_| members.draw_near(now, &mut rng)).collect();
+    let drawn: Vec<_> = (0..40).map(|_| members.random_local_peer(now, &mut rng)).collect();
     assert!(drawn.iter().all(|one| near.contains(one)), "{drawn:?}");
     assert!(near.iter().all(|one| drawn.contains(one)), "each of them in turn");
 }
@@ -312,7 +335,7 @@
         let mut members = Members::new(Config::default(), named(asked));
         (0..150)
             .filter(|other| *other != asked)
-            .for_each(|other| members.hear(&fresh(&named(other)), now));
+            .for_each(|other| members.apply_record(&fresh(&named(other)), now));
         let given = members.for_callers(&named(asked).data_centre, now);
         let near =
             given.iter().take(30).filter(|at| (at.port() as usize - 1_000) / 30 == asked / 30);
@@ -335,18 +358,18 @@
     for (before_ms, after_ms) in [(9 * HOUR_MS, 5 * HOUR_MS), (5 * HOUR_MS, 9 * HOUR_MS)] {
         let mut all = vec![started(before_ms, 70), Members::new(Config::default(), member("b", 1))];
         exchange_between(&mut all, 0, 1, Millis(100));
-        assert_eq!(all[1].living(Millis(200)), 2);
+        assert_eq!(all[1].count_alive(Millis(200)), 2);
         // It is killed, and the next process of its instance starts under the other clock.
         all[0] = started(after_ms, 0);
         all[0].set_readiness(Readiness::Starting);
         for at in [3_200, 3_800] {
-            all[0].beat();
+            all[0].advance_heartbeat();
             exchange_between(&mut all, 0, 1, Millis(at));
         }
         assert!(all[0].own().incarnation > before_ms, "it outlives the one before it");
-        let named = all[1].named(&[all[0].own().life()], Millis(3_800));
-        assert_eq!(named, [all[0].own_word()]);
-        assert_eq!(all[1].living(Millis(6_500)), 2, "it lives by the steady clock");
+        let named = all[1].records_of(&[all[0].own().incarnation_id()], Millis(3_800));
+        assert_eq!(named, [all[0].own_record()]);
+        assert_eq!(all[1].count_alive(Millis(6_500)), 2, "it lives by the steady clock");
     }
 }
 
@@ -362,19 +385,20 @@
         .map(|index| {
             let mut members = Members::new(Config::default(), named(index));
             let others = (0..gateways).filter(|other| *other != index);
-            others.for_each(|other| members.hear(&fresh(&named(other)), now));
+            others.for_each(|other| members.apply_record(&fresh(&named(other)), now));
             members
         })
         .collect();
-    all[0].begin_lead(5);
+    all[0].begin_leadership(5);
     for round in 1..100 {
         for asks in 0..gateways {
-            all[asks].beat();
-            let Some(address) = all[asks].draw(now, &mut rng) else { continue };
+            all[asks].advance_heartbeat();
+            let Some(address) = all[asks].random_peer(now, &mut rng) else { continue };
             let asked = usize::from(address.port() - 1_000);
             exchange_between(&mut all, asks, asked, now);
         }
-        let has_heard = |members: &Members| members.known().any(|told| told.lead_fence == 5);
+        let has_heard =
+            |members: &Members| members.known().any(|told| told.leader_fencing_token == 5);
         if all.iter().all(has_heard) {
             return round;
         }
@@ -387,9 +411,9 @@
     for gateways in [2, 6, 8, 32, 100] {
         let mut members = Members::new(Config::default(), member("a", 1));
         for index in 1..gateways {
-            members.hear(&fresh(&member(&format!("g{index}"), 1)), Millis(1_000));
+            members.apply_record(&fresh(&member(&format!("g{index}"), 1)), Millis(1_000));
         }
-        let protected = members.spread_time().0 / Config::default().round.0;
+        let protected = members.propagation_time().0 / Config::default().gossip_interval.0;
         for seed in 0..40 {
             let rounds = rounds_until_all_hear(gateways, seed);
             assert!(rounds <= protected, "{gateways} gateways: {rounds} of {protected} rounds");
@@ -401,13 +425,13 @@
 fn a_leader_that_is_not_told_of_or_replaced_begins_no_change() {
     let now = Millis(1_000);
     let mut members = Members::new(Config::default(), member("a", 1));
-    assert!(!members.may_order(now), "it does not lead");
-    members.begin_lead(5);
-    assert!(members.may_order(now));
-    members.tell_lead(false);
-    assert!(!members.may_order(now), "another may take over");
-    members.tell_lead(true);
-    assert!(members.may_order(now));
-    members.hear(&fresh(&Member { lead_fence: 6, ..member("b", 1) }), now);
-    assert!(!members.may_order(now), "another has taken over");
+    assert!(!members.may_send_orders(now), "it does not lead");
+    members.begin_leadership(5);
+    assert!(members.may_send_orders(now));
+    members.advertise_leadership(false);
+    assert!(!members.may_send_orders(now), "another may take over");
+    members.advertise_leadership(true);
+    assert!(members.may_send_orders(now));
+    members.apply_record(&fresh(&Member { leader_fencing_token: 6, ..member("b", 1) }), now);
+    assert!(!members.may_send_orders(now), "another has taken over");
 }
--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/named_limit.rs
@@ -5,7 +5,7 @@
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::crashes::ServerLife;
-use hooktrestle_core::direct::members::LifeId;
+use hooktrestle_core::direct::members::IncarnationId;
 use hooktrestle_core::direct::named_limit::GOOD_FOR;
 use hooktrestle_core::direct::named_limit::Heard;
 use hooktrestle_core::direct::named_limit::Limited;
@@ -143,11 +143,14 @@
 #[test]
 fn a_part_is_handed_to_one_at_a_time() {
     let mut one = Permits::new(Millis::ZERO);
-    assert!(!one.hand_over(LifeId(1), Millis(100)), "the process before may have handed it over");
-    assert!(one.hand_over(LifeId(1), Millis(3_000)));
-    assert!(one.hand_over(LifeId(1), Millis(4_000)));
-    assert!(!one.hand_over(LifeId(2), Millis(6_400)));
-    assert!(one.hand_over(LifeId(2), Millis(6_500)));
+    assert!(
+        !one.hand_over(IncarnationId(1), Millis(100)),
+        "the process before may have handed it over"
+    );
+    assert!(one.hand_over(IncarnationId(1), Millis(3_000)));
+    assert!(one.hand_over(IncarnationId(1), Millis(4_000)));
+    assert!(!one.hand_over(IncarnationId(2), Millis(6_400)));
+    assert!(one.hand_over(IncarnationId(2), Millis(6_500)));
 }
 
 #[test]
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -7,22 +7,22 @@
 #[test]
 fn callers_come_back_when_an_outage_is_expected_to_be_over() {
     let mut outages = Outages::new(Config::default());
-    assert_eq!(outages.come_back(Millis(500), 0.0), None, "nothing is out");
+    assert_eq!(outages.retry_after(Millis(500), 0.0), None, "nothing is out");
     outages.began(Millis(1_000));
     outages.began(Millis(1_500));
-    assert_eq!(outages.come_back(Millis(1_000), 0.0), Some(Millis(2_100)));
-    assert_eq!(outages.come_back(Millis(2_000), 0.0), Some(Millis(1_100)));
-    assert_eq!(outages.come_back(Millis(9_000), 0.0), Some(Millis(800)), "it goes on");
+    assert_eq!(outages.retry_after(Millis(1_000), 0.0), Some(Millis(2_100)));
+    assert_eq!(outages.retry_after(Millis(2_000), 0.0), Some(Millis(1_100)));
+    assert_eq!(outages.retry_after(Millis(9_000), 0.0), Some(Millis(800)), "it goes on");
     outages.ended(Millis(9_000));
-    assert_eq!(outages.come_back(Millis(9_000), 0.0), None);
+    assert_eq!(outages.retry_after(Millis(9_000), 0.0), None);
 }
 
 #[test]
 fn callers_are_spread_within_what_they_wait_for() {
     let mut outages = Outages::new(Config::default());
     outages.began(Millis(1_000));
-    assert_eq!(outages.come_back(Millis(2_100), 0.5), Some(Millis(1_125)));
-    assert_eq!(outages.come_back(Millis(1_000), 1.0), Some(Millis(2_600)));
+    assert_eq!(outages.retry_after(Millis(2_100), 0.5), Some(Millis(1_125)));
+    assert_eq!(outages.retry_after(Millis(1_000), 1.0), Some(Millis(2_600)));
 }
 
 #[test]
@@ -35,6 +35,6 @@
         outages.ended(Millis(10_000 * round + 5_020));
     }
     outages.began(Millis(500_000));
-    let told = outages.come_back(Millis(500_000), 0.0).unwrap();
+    let told = outages.retry_after(Millis(500_000), 0.0).unwrap();
     assert!((1_000..1_010).contains(&told.0), "{told}");
 }
--- a/crates/core/tests/overtaken.rs
+++ b/crates/core/tests/overtaken.rs
@@ -50,7 +50,7 @@
                 ended.push((now - sent, false));
                 return false;
             }
-            let left = heads.next(key, sent_at, Millis(now)) == Next::Leave;
+            let left = heads.next(key, sent_at, Millis(now)) == Next::GiveUp;
             if left {
                 ended.push((now - sent, true));
             }
@@ -86,7 +86,7 @@
         heads.began(keys[1], Millis(1_000 + number), Millis(1_400 + number));
     }
     assert_eq!(heads.next(keys[0], Millis(900), Millis(2_000)), Next::Wait(Millis(2_100)));
-    assert_eq!(heads.next(keys[0], Millis(900), Millis(2_100)), Next::Leave);
+    assert_eq!(heads.next(keys[0], Millis(900), Millis(2_100)), Next::GiveUp);
     assert_eq!(
         heads.next(keys[1], Millis(900), Millis(2_100)),
         Next::Wait(Millis(2_200)),
--- a/crates/core/tests/permit_fleet/mod.rs
+++ b/crates/core/tests/permit_fleet/mod.rs
@@ -7,7 +7,7 @@
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::crashes::ServerLife;
-use hooktrestle_core::direct::members::LifeId;
+use hooktrestle_core::direct::members::IncarnationId;
 use hooktrestle_core::direct::named_limit::ASK_TIMEOUT;
 use hooktrestle_core::direct::named_limit::Limited;
 use hooktrestle_core::direct::named_limit::ON_THE_WAY;
@@ -260,7 +260,7 @@
             Kept::EachTheWhole => from,
         };
         let life = gateway.life;
-        let of = LifeId(first as u64 * 1_000 + self.gateways[first].life);
+        let of = IncarnationId(first as u64 * 1_000 + self.gateways[first].life);
         let hands_over = self.gateways[from].permits.hand_over(of, now);
         if wanted > 0 {
             self.gateways[from].asked = Some(now.0);
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -199,10 +199,10 @@
         match next {
             overtaken::Next::Wait(until) => gateway.clock.sleep_until(until).await,
             // What was answered while this process stood still has not been read yet.
-            overtaken::Next::Leave if gateway.stood_still(NOT_READ_YET).is_some() => {
+            overtaken::Next::GiveUp if gateway.stood_still(NOT_READ_YET).is_some() => {
                 time::sleep(Duration::from(NOT_READ_YET)).await;
             }
-            overtaken::Next::Leave => return,
+            overtaken::Next::GiveUp => return,
         }
     }
 }
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -160,7 +160,7 @@
             continue;
         };
         pause = PAUSE;
-        let alone = gateway.with_members(|members| members.living(now)) == 1;
+        let alone = gateway.with_members(|members| members.count_alive(now)) == 1;
         tokio::select! {
             () = time::sleep(if alone { ALONE_EVERY } else { MEMBERS_EVERY }) => {}
             // What was written in the era before may be lost.
@@ -181,7 +181,7 @@
     let now = gateway.now();
     let texts = update.changes.iter().filter_map(|change| change.value.as_deref());
     let listed: Vec<Member> = texts.filter_map(news::member_of_text).collect();
-    for name in gateway.with_members(|members| members.take_table(&listed, now)) {
+    for name in gateway.with_members(|members| members.apply_table(&listed, now)) {
         match gateway.platform.write_member(&name, None).await {
             Ok(_) => gateway.journal.state(format_args!("{name} is listed no more")),
             // It is tried again at the next reading.
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -43,7 +43,7 @@
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::serving::RouteKind;
 use hooktrestle_core::direct::serving::Serving;
-use hooktrestle_core::direct::slow::Findings;
+use hooktrestle_core::direct::slow_servers::SlowServerReports;
 use hooktrestle_core::direct::unconfirmed::Unconfirmed;
 use hooktrestle_core::standstill::Standstill;
 use hooktrestle_core::util::arena::Key;
@@ -115,7 +115,7 @@
     pub told: Notify,
     /// Rounds of news that are still to be made at once.
     urgent_rounds: Cell<Option<(u32, Reach)>>,
-    findings: RefCell<Findings>,
+    findings: RefCell<SlowServerReports>,
     crashes: RefCell<Crashes>,
     found: RefCell<Found>,
     /// Wakes whoever keeps crashes on the platform: something has changed.
@@ -185,7 +185,10 @@
             told: Notify::new(),
             urgent_rounds: Cell::new(None),
             findings: RefCell::default(),
-            crashes: RefCell::new(Crashes::new(CrashConfig::default(), Reporter(own.life().0))),
+            crashes: RefCell::new(Crashes::new(
+                CrashConfig::default(),
+                Reporter(own.incarnation_id().0),
+            )),
             found: RefCell::default(),
             crashes_changed: Notify::new(),
             permits: RefCell::new(Permits::new(clock.now())),
@@ -240,7 +243,7 @@
         if self.standstill.get().ended_within(HEAR_AGAIN, now).is_some() {
             return members.known().count();
         }
-        members.living(now)
+        members.count_alive(now)
     }
 
     /// The configuration in force.
@@ -344,7 +347,7 @@
     /// A gateway relayed nothing: it is passed by for a while.
     pub fn pass_relay_by(&self, relay: IpAddr) {
         self.journal.state(format_args!("{relay} relayed no order, and is passed by"));
-        self.relays.borrow_mut().gave_none(relay, self.now());
+        self.relays.borrow_mut().mark_unanswered(relay, self.now());
     }
 
     /// Whether the store answered when it was asked last.
@@ -407,7 +410,7 @@
             return Some(after);
         }
         let (now, part) = (self.now(), rand::rng().random());
-        self.with_outages(service, |outages| outages.come_back(now, part))
+        self.with_outages(service, |outages| outages.retry_after(now, part))
     }
 
     /// Where streams of a service begin.
--- a/crates/direct/src/gateway/asked.rs
+++ b/crates/direct/src/gateway/asked.rs
@@ -59,6 +59,6 @@
     pub fn all_bound(&self, service: &str) -> Option<Millis> {
         let now = self.now();
         let until = self.with_pool(|pool| pool.all_bound_until(service, now))?;
-        Some(outage::spread(until.since(now), rand::rng().random()))
+        Some(outage::add_jitter(until.since(now), rand::rng().random()))
     }
 }
--- a/crates/direct/src/gateway/configurations.rs
+++ b/crates/direct/src/gateway/configurations.rs
@@ -63,7 +63,7 @@
     /// Takes a configuration that another gateway kept.
     pub fn take_kept(&self, update: &Update) {
         let mut replica = Replica::default();
-        replica.take(update);
+        replica.apply(update);
         let decoded = self.platform.serving(&replica);
         let Ok(Some(serving)) = decoded else { return };
         if serving.version > self.serving.borrow().version {
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -254,7 +254,7 @@
             ServerLife::of(&listed.id, listed.started_unix_ms)
         });
         let age = self.now().since(crashed_at);
-        let reporter = Reporter(self.with_members(|members| members.own().life().0));
+        let reporter = Reporter(self.with_members(|members| members.own().incarnation_id().0));
         self.take_crashes(&[Crash { server: life, reporter, age, suspects }], &[]);
     }
 
--- a/crates/direct/src/gateway/findings.rs
+++ b/crates/direct/src/gateway/findings.rs
@@ -1,7 +1,7 @@
 //! What the leaders of expert maps found of backend servers, brought into force and handed on at once.
 
-use hooktrestle_core::direct::slow::Finding;
-use hooktrestle_core::direct::slow::Findings;
+use hooktrestle_core::direct::slow_servers::SlowServerReport;
+use hooktrestle_core::direct::slow_servers::SlowServerReports;
 
 use crate::gateway::Gateway;
 use crate::platform::Platform;
@@ -23,15 +23,15 @@
 
 impl<P: Platform> Gateway<P> {
     /// What the leaders of expert maps found of servers.
-    pub fn with_findings<T>(&self, act: impl FnOnce(&Findings) -> T) -> T {
+    pub fn with_findings<T>(&self, act: impl FnOnce(&SlowServerReports) -> T) -> T {
         act(&self.findings.borrow())
     }
 
     /// Takes a finding, from the own lead or from another gateway, and hands it on at once if it is
     /// new.
-    pub fn take_finding(&self, service: &str, finding: &Finding) {
+    pub fn take_finding(&self, service: &str, finding: &SlowServerReport) {
         let now = self.now();
-        if !self.findings.borrow_mut().take(service, finding, now) {
+        if !self.findings.borrow_mut().apply(service, finding, now) {
             return;
         }
         self.with_pool(|pool| pool.set_slow(service, &finding.servers, finding.age, now));
--- a/crates/direct/src/gateway/tables.rs
+++ b/crates/direct/src/gateway/tables.rs
@@ -1,6 +1,6 @@
 //! News of the platform's tables, from the store or from other gateways, brought into force.
 
-use hooktrestle_core::direct::replica::Lost;
+use hooktrestle_core::direct::replica::LostRow;
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
@@ -38,7 +38,7 @@
             self.keep_configuration();
         }
         let taken = match self.replicas.borrow_mut().get_mut(&table) {
-            Some(replica) => replica.take(update),
+            Some(replica) => replica.apply(update),
             None => return,
         };
         let revision = self.revision(table);
@@ -71,7 +71,7 @@
     }
 
     /// What is lost of the list of servers holds until it is written again, or for a while.
-    fn keep_lost(&self, mut lost: Vec<Lost>) {
+    fn keep_lost(&self, mut lost: Vec<LostRow>) {
         let replicas = self.replicas.borrow();
         let Some(replica) = replicas.get(&Table::Servers) else { return };
         lost.retain(|lost| self.holds(lost, replica));
@@ -86,7 +86,7 @@
 
     /// Whether a lost row holds against the one that the store tells: a server that leaves or is gone takes no
     /// more work, while one that was ready may have said since that it leaves.
-    fn holds(&self, lost: &Lost, replica: &Replica) -> bool {
+    fn holds(&self, lost: &LostRow, replica: &Replica) -> bool {
         let (Some(known), Some(told)) = (&lost.value, replica.get(&lost.key)) else { return true };
         let leaves = |value| self.platform.listed(&lost.key, value).is_ok_and(|row| row.leaving);
         leaves(known) && !leaves(told)
--- a/crates/direct/src/maps.rs
+++ b/crates/direct/src/maps.rs
@@ -52,11 +52,11 @@
 /// once, each would claim the lead.
 const LISTEN_FIRST: Millis = Millis(500);
 
-/// Added to it for each gateway that goes before this one, as [`Members::before`] counts them: by the
+/// Added to it for each gateway that goes before this one, as [`Members::count_preferred_leaders`] counts them: by the
 /// time that it is over, news of an earlier claim have come. Where 149 started at once, all claimed
 /// within 0.3 s; the first few claim now.
 ///
-/// [`Members::before`]: hooktrestle_core::direct::members::Members::before
+/// [`Members::count_preferred_leaders`]: hooktrestle_core::direct::members::Members::count_preferred_leaders
 const CLAIM_STEP: Millis = Millis(50);
 
 /// How long a leader that was replaced does not claim again: where it cannot hear of the other, the
@@ -113,8 +113,8 @@
 
 /// Whether this gateway has listened for long enough to claim the lead.
 fn has_listened<P: Platform>(gateway: &Gateway<P>) -> bool {
-    let (before, spread) =
-        gateway.with_members(|members| (members.before(), members.spread_time()));
+    let (before, spread) = gateway
+        .with_members(|members| (members.count_preferred_leaders(), members.propagation_time()));
     let listen = LISTEN_FIRST + Millis(CLAIM_STEP.0 * before as u64);
     // After a standstill it begins anew: others were not silent, this process was. A claim that was lost with
     // an era protects its holder no more, of whom not all may have heard.
@@ -129,7 +129,7 @@
     if gateway.readiness() != Readiness::Ready {
         return false;
     }
-    gateway.with_members(|members| members.shall_lead(now))
+    gateway.with_members(|members| members.should_lead(now))
 }
 
 /// A lead that was begun, and whether it goes on.
@@ -198,7 +198,7 @@
 ) {
     let mut written_in = gateway.platform.store_era();
     let Some(fence) = claim(&gateway, &name, &lead).await else { return };
-    gateway.with_members(|members| members.begin_lead(fence));
+    gateway.with_members(|members| members.begin_leadership(fence));
     gateway.hand_on(Reach::All);
     let service = Rc::new(Service::new(gateway, name, shape, fence, lead));
     let mut started: BTreeSet<String> = BTreeSet::new();
@@ -219,7 +219,7 @@
         service.read_counts().await;
         time::sleep(COUNTS_EVERY).await;
     }
-    service.gateway.with_members(|members| members.end_lead(service.fence));
+    service.gateway.with_members(|members| members.end_leadership(service.fence));
     service.gateway.journal.state(format_args!("maps of {} are not led any more", service.name));
 }
 
@@ -227,7 +227,7 @@
 async fn claim<P: Platform>(gateway: &Gateway<P>, service: &str, lead: &Lead) -> Option<u64> {
     // Until all have heard who leads, nobody else may: one that has not would give orders, too.
     let (holder, newest, protected) = gateway.with_members(|members| {
-        (members.own().name.clone(), members.newest_fence(), members.spread_time())
+        (members.own().name.clone(), members.highest_fencing_token(), members.propagation_time())
     });
     let claimant = Claimant { holder: &holder, newest };
     match gateway.platform.claim_maps(service, &claimant, protected).await {
@@ -413,7 +413,7 @@
         let now = self.gateway.now();
         if 2 * reached >= all {
             if self.unreached_since.take().is_some() {
-                self.gateway.with_members(|members| members.tell_lead(true));
+                self.gateway.with_members(|members| members.advertise_leadership(true));
             }
             return;
         }
@@ -423,7 +423,7 @@
             self.gateway.journal.state(line);
         }
         if now.since(since) >= UNREACHED_MOST {
-            self.gateway.with_members(|members| members.tell_lead(false));
+            self.gateway.with_members(|members| members.advertise_leadership(false));
         }
     }
 
@@ -445,7 +445,7 @@
     /// Whether a map may begin to be changed.
     fn may_order(&self) -> bool {
         let now = self.gateway.now();
-        !self.lead.is_over() && self.gateway.with_members(|members| members.may_order(now))
+        !self.lead.is_over() && self.gateway.with_members(|members| members.may_send_orders(now))
     }
 
     fn are_present(&self, ranks: &[Key<Server>]) -> bool {
--- a/crates/direct/src/maps/paces.rs
+++ b/crates/direct/src/maps/paces.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::pool::Server;
-use hooktrestle_core::direct::slow::Finding;
+use hooktrestle_core::direct::slow_servers::SlowServerReport;
 use hooktrestle_core::util::arena::Key;
 
 use crate::engine;
@@ -31,14 +31,14 @@
     /// How long each rank's work takes over the usual time, as far as it was told.
     by_rank: BTreeMap<Key<Server>, f64>,
     /// What gateways were told of slow servers, and when.
-    told: Finding,
+    told: SlowServerReport,
     told_at: Millis,
 }
 
 impl Paces {
     /// Nothing was told yet; the leader with this fencing token finds.
     pub(super) fn new(fence: u64) -> Paces {
-        let told = Finding { fence, ..Finding::default() };
+        let told = SlowServerReport { fencing_token: fence, ..SlowServerReport::default() };
         Paces { by_rank: BTreeMap::new(), told, told_at: Millis::ZERO }
     }
 
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -17,8 +17,8 @@
 use futures_util::SinkExt;
 use futures_util::StreamExt;
 use hooktrestle_core::clock::Millis;
+use hooktrestle_core::direct::members::LivenessChange;
 use hooktrestle_core::direct::members::Readiness;
-use hooktrestle_core::direct::members::Sighting;
 use hooktrestle_schema::PeerNews;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
@@ -110,13 +110,13 @@
             let readiness = gateway.readiness();
             note_sightings(&gateway, now);
             let drawn = gateway.with_members(|members| {
-                members.beat();
+                members.advance_heartbeat();
                 members.set_readiness(readiness);
                 let near = match urgent {
-                    Some(Reach::Near) => members.draw_near(now, &mut rand::rng()),
+                    Some(Reach::Near) => members.random_local_peer(now, &mut rand::rng()),
                     Some(Reach::All) | None => None,
                 };
-                near.or_else(|| members.draw(now, &mut rand::rng()))
+                near.or_else(|| members.random_peer(now, &mut rand::rng()))
             });
             round += 1;
             let asked = match self.seed(&gateway, round, drawn.is_none()).or(drawn) {
@@ -132,7 +132,8 @@
                 continue;
             }
             gateway.told.notify_waiters();
-            let round_time = gateway.with_members(|members| Duration::from(members.round()));
+            let round_time =
+                gateway.with_members(|members| Duration::from(members.gossip_interval()));
             let pause = time::sleep(if hasty { HASTY_ROUND } else { round_time });
             tokio::select! {
                 () = pause => {}
@@ -162,9 +163,9 @@
         let now = gateway.now();
         let readiness = gateway.readiness();
         let living = gateway.with_members(|members| {
-            members.beat();
+            members.advance_heartbeat();
             members.set_readiness(readiness);
-            members.living_peers(now)
+            members.alive_peers(now)
         });
         let told = living.into_iter().map(|address| self.exchange(gateway, address));
         futures_util::future::join_all(told).await;
@@ -179,8 +180,8 @@
         let answered = self.links.exchange(address, exchange).await.is_ok();
         let now = gateway.now();
         gateway.with_members(|members| match answered {
-            true => members.exchanged(now),
-            false => members.unreachable(address),
+            true => members.record_exchange(now),
+            false => members.mark_unreachable(address),
         });
         answered
     }
@@ -189,14 +190,14 @@
 /// Forgets gateways that were silent for long; logs whom callers are sent to from now on, or are not.
 fn note_sightings<P: Platform>(gateway: &Gateway<P>, now: Millis) {
     let (sightings, living) = gateway.with_members(|members| {
-        members.forget(now);
-        (members.look(now), members.living(now))
+        members.remove_expired(now);
+        (members.liveness_changes(now), members.count_alive(now))
     });
     gateway.metrics.gateways_living.set(living as i64);
     if sightings.is_empty() {
         return;
     }
-    let line: Vec<String> = sightings.iter().map(Sighting::to_string).collect();
+    let line: Vec<String> = sightings.iter().map(LivenessChange::to_string).collect();
     gateway.journal.state(format_args!("{living} gateways live: {}", line.join(", ")));
 }
 
--- a/crates/direct/src/peers/news.rs
+++ b/crates/direct/src/peers/news.rs
@@ -12,18 +12,18 @@
 use hooktrestle_core::direct::crashes::Stage;
 use hooktrestle_core::direct::crashes::Suspect;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
-use hooktrestle_core::direct::members::Beat;
-use hooktrestle_core::direct::members::LifeId;
+use hooktrestle_core::direct::members::Heartbeat;
+use hooktrestle_core::direct::members::IncarnationId;
 use hooktrestle_core::direct::members::Member;
+use hooktrestle_core::direct::members::MemberRecord;
 use hooktrestle_core::direct::members::Readiness;
-use hooktrestle_core::direct::members::Word;
 use hooktrestle_core::direct::named_limit::ON_THE_WAY;
 use hooktrestle_core::direct::named_limit::Rate;
 use hooktrestle_core::direct::named_limit::Said;
 use hooktrestle_core::direct::replica::Change;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
-use hooktrestle_core::direct::slow::Finding;
+use hooktrestle_core::direct::slow_servers::SlowServerReport;
 use hooktrestle_schema as schema;
 use hooktrestle_schema::CrashNews;
 use hooktrestle_schema::MemberNews;
@@ -48,7 +48,8 @@
 /// What is asked first: what this gateway knows.
 pub(super) fn question<P: Platform>(gateway: &Gateway<P>) -> PeerNews {
     let now = gateway.now();
-    let (own, beats) = gateway.with_members(|members| (members.own_word(), members.beats(now)));
+    let (own, beats) =
+        gateway.with_members(|members| (members.own_record(), members.heartbeats(now)));
     PeerNews { members: vec![word_news(&own)], ..with_beats(own_news(gateway, None), &beats) }
 }
 
@@ -73,8 +74,9 @@
     }
     let differs = asked.crash_digest_number != news.crash_digest_number;
     let news = if differs { with_known_crashes(gateway, news, now) } else { news };
-    let (lacking, beats) =
-        gateway.with_members(|members| (members.lacking(&told, now), members.beats(now)));
+    let (lacking, beats) = gateway.with_members(|members| {
+        (members.records_missing_from(&told, now), members.heartbeats(now))
+    });
     PeerNews {
         members: lacking.iter().map(word_news).collect(),
         wanted_numbers: unknown.iter().map(|life| life.0).collect(),
@@ -84,9 +86,10 @@
 
 /// What the other was found to lack by its answer, if anything.
 pub(super) fn rest<P: Platform>(gateway: &Gateway<P>, answer: &PeerNews) -> Option<PeerNews> {
-    let wanted: Vec<LifeId> = answer.wanted_numbers.iter().copied().map(LifeId).collect();
+    let wanted: Vec<IncarnationId> =
+        answer.wanted_numbers.iter().copied().map(IncarnationId).collect();
     let now = gateway.now();
-    let members = gateway.with_members(|members| members.named(&wanted, now));
+    let members = gateway.with_members(|members| members.records_of(&wanted, now));
     let news = own_news(gateway, Some(answer));
     let news = with_lacking_crashes(gateway, news, answer, now);
     let has_crashes = !news.crashes.is_empty() || !news.crashes_wanted.is_empty();
@@ -205,7 +208,7 @@
         configuration_kept: other
             .and_then(|other| gateway.kept_for(other.configuration_version))
             .map(|update| table_news(Table::Configuration.name(), update)),
-        slow: gateway.with_findings(|findings| findings.all(now).map(slow_servers).collect()),
+        slow: gateway.with_findings(|findings| findings.current(now).map(slow_servers).collect()),
         crash_digest_number: gateway.with_crashes(|crashes| crashes.digest(now)),
         limits: limits.iter().map(|(server, said)| limit_news(*server, said, now)).collect(),
         ..empty()
@@ -261,11 +264,11 @@
     told.collect()
 }
 
-fn slow_servers((service, finding): (&str, Finding)) -> SlowServers {
+fn slow_servers((service, finding): (&str, SlowServerReport)) -> SlowServers {
     SlowServers {
         age_ms: finding.age.0,
         service: service.to_owned(),
-        lead_fence_number: finding.fence,
+        lead_fence_number: finding.fencing_token,
         finding_number: finding.number,
         servers: finding.servers,
     }
@@ -284,19 +287,20 @@
 fn take_told<P: Platform>(
     gateway: &Gateway<P>,
     news: &PeerNews,
-    beats: &[Beat],
+    beats: &[Heartbeat],
     waited: Millis,
-) -> Vec<LifeId> {
+) -> Vec<IncarnationId> {
     let now = gateway.now();
     let unknown = gateway.with_members(|members| {
         let told = news.members.iter().filter_map(|told| word(told, waited));
-        told.for_each(|word| members.hear(&word, now));
-        members.hear_beats(beats, now)
+        told.for_each(|word| members.apply_record(&word, now));
+        members.apply_heartbeats(beats, now)
     });
     for told in &news.slow {
         let (fence, number) = (told.lead_fence_number, told.finding_number);
         let age = Millis(told.age_ms) + waited;
-        let finding = Finding { fence, number, servers: told.servers.clone(), age };
+        let finding =
+            SlowServerReport { fencing_token: fence, number, servers: told.servers.clone(), age };
         gateway.take_finding(&told.service, &finding);
     }
     let crashes: Vec<Crash> = news.crashes.iter().map(|told| crash(told, waited)).collect();
@@ -348,15 +352,15 @@
 /// Added to a state where the store answers.
 const ANSWERS: u64 = 4;
 
-fn beat_news(beat: &Beat) -> [u64; 4] {
+fn beat_news(beat: &Heartbeat) -> [u64; 4] {
     let place = STATES.iter().position(|readiness| *readiness == beat.readiness);
     let answers = if beat.store_answers { ANSWERS } else { 0 };
     let state = place.unwrap_or_default() as u64 + answers;
-    [beat.life.0, beat.heartbeat, state, beat.lead_fence]
+    [beat.incarnation_id.0, beat.heartbeat, state, beat.leader_fencing_token]
 }
 
 /// News with these beats.
-fn with_beats(news: PeerNews, beats: &[Beat]) -> PeerNews {
+fn with_beats(news: PeerNews, beats: &[Heartbeat]) -> PeerNews {
     PeerNews {
         beats: beats.iter().map(beat_news).collect(),
         beat_ages_ms: beats.iter().map(|beat| beat.age.0).collect(),
@@ -366,25 +370,35 @@
 
 /// The beats that were told, each older by `waited` than it says. A gateway of an earlier version tells
 /// no ages.
-fn beats_of(news: &PeerNews, waited: Millis) -> Vec<Beat> {
+fn beats_of(news: &PeerNews, waited: Millis) -> Vec<Heartbeat> {
     let ages = news.beat_ages_ms.iter().copied().chain(iter::repeat(0));
     let told = news.beats.iter().zip(ages);
     told.filter_map(|(told, age_ms)| beat(told, Millis(age_ms) + waited)).collect()
 }
 
 /// The reverse; `None` for a state of a later version.
-fn beat(&[life, heartbeat, state, lead_fence]: &[u64; 4], age: Millis) -> Option<Beat> {
+fn beat(
+    &[life, heartbeat, state, leader_fencing_token]: &[u64; 4],
+    age: Millis,
+) -> Option<Heartbeat> {
     let readiness = *STATES.get((state % ANSWERS) as usize)?;
     let store_answers = state / ANSWERS == 1;
-    Some(Beat { life: LifeId(life), heartbeat, readiness, store_answers, lead_fence, age })
+    Some(Heartbeat {
+        incarnation_id: IncarnationId(life),
+        heartbeat,
+        readiness,
+        store_answers,
+        leader_fencing_token,
+        age,
+    })
 }
 
-fn word_news(word: &Word) -> MemberNews {
+fn word_news(word: &MemberRecord) -> MemberNews {
     MemberNews { age_ms: word.age.0, ..member_news(&word.member) }
 }
 
-fn word(news: &MemberNews, waited: Millis) -> Option<Word> {
-    Some(Word { member: member(news)?, age: Millis(news.age_ms) + waited })
+fn word(news: &MemberNews, waited: Millis) -> Option<MemberRecord> {
+    Some(MemberRecord { member: member(news)?, age: Millis(news.age_ms) + waited })
 }
 
 fn member_news(member: &Member) -> MemberNews {
@@ -403,7 +417,7 @@
             Readiness::Leaving => schema::Readiness::Leaving,
         },
         store_answers: member.store_answers,
-        lead_fence_number: member.lead_fence,
+        lead_fence_number: member.leader_fencing_token,
     }
 }
 
@@ -422,7 +436,7 @@
             schema::Readiness::Leaving => Readiness::Leaving,
         },
         store_answers: news.store_answers,
-        lead_fence: news.lead_fence_number,
+        leader_fencing_token: news.lead_fence_number,
     })
 }
 
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -11,7 +11,7 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::crashes::ServerLife;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
-use hooktrestle_core::direct::members::LifeId;
+use hooktrestle_core::direct::members::IncarnationId;
 use hooktrestle_core::direct::named_limit::ASK_TIMEOUT;
 use hooktrestle_core::direct::named_limit::Rate;
 use hooktrestle_core::direct::permits::GatewayId;
@@ -42,7 +42,7 @@
 pub struct Givers {
     links: Links,
     /// Those that gave no answer, and until when each is passed by.
-    passed_by: RefCell<HashMap<LifeId, Millis>>,
+    passed_by: RefCell<HashMap<IncarnationId, Millis>>,
 }
 
 impl Default for Givers {
@@ -87,7 +87,7 @@
 
 /// Who is asked.
 struct Giver {
-    life: LifeId,
+    life: IncarnationId,
     at: SocketAddr,
     is_own: bool,
 }
@@ -136,10 +136,10 @@
     let mut passed_by = gateway.permit_givers.passed_by.borrow_mut();
     passed_by.retain(|_, until| *until > now);
     gateway.with_members(|members| {
-        let order = members.in_order(now);
-        let first = order.into_iter().find(|one| !passed_by.contains_key(&one.life()))?;
+        let order = members.serving_gateways(now);
+        let first = order.into_iter().find(|one| !passed_by.contains_key(&one.incarnation_id()))?;
         let is_own = first.name == members.own().name;
-        Some(Giver { life: first.life(), at: first.peers_at, is_own })
+        Some(Giver { life: first.incarnation_id(), at: first.peers_at, is_own })
     })
 }
 
@@ -188,7 +188,7 @@
 
 fn give<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> Given {
     let now = gateway.now();
-    let gateways = gateway.with_members(|members| members.all(now));
+    let gateways = gateway.with_members(|members| members.fleet_size(now));
     let returning = asked.returning_requests.map(|in_1000_s| Rate { in_1000_s });
     // After a rest somebody has to find out whether the server takes requests.
     let first = if returning.is_some() { 1.0 } else { 0.0 };
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -257,7 +257,7 @@
         memory_bytes: memory_bytes(),
         readiness: Readiness::Starting,
         store_answers: false,
-        lead_fence: 0,
+        leader_fencing_token: 0,
     }
 }
 
