--- a/crates/bench/src/control_report.rs
+++ b/crates/bench/src/control_report.rs
@@ -29,8 +29,8 @@
 const GATEWAYS: f64 = 360.0;
 const SIDECARS: f64 = 630.0;
 const SERVICES: f64 = 14.0;
-const GATEWAYS_FOR_SERVICE: f64 = hooktrestle_core::subset::GATEWAYS_FOR_SERVICE as f64;
-const SERVERS_FOR_GATEWAY: f64 = hooktrestle_core::subset::SERVERS_FOR_GATEWAY as f64;
+const GATEWAYS_PER_SERVICE: f64 = hooktrestle_core::subset::GATEWAYS_PER_SERVICE as f64;
+const SERVERS_PER_GATEWAY: f64 = hooktrestle_core::subset::SERVERS_PER_GATEWAY as f64;
 
 /// Measures and prints everything.
 pub(crate) fn print() -> Result<()> {
@@ -92,7 +92,7 @@
 
 /// Bytes of a link count at both of its ends: what one sends, the other receives.
 fn target(bytes: &Fit, core: &Fit, reads: &Fit) {
-    let links = SERVICES * GATEWAYS_FOR_SERVICE * SERVERS_FOR_GATEWAY;
+    let links = SERVICES * GATEWAYS_PER_SERVICE * SERVERS_PER_GATEWAY;
     let (of_gateway, of_sidecar) = (links / GATEWAYS, links / SIDECARS);
     println!(
         "target: {links:.0} links, {of_gateway:.1} at a gateway, {of_sidecar:.1} at a sidecar"
--- a/crates/bench/src/emulator.rs
+++ b/crates/bench/src/emulator.rs
@@ -11,8 +11,8 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::admission;
 use hooktrestle_core::direct::admission::Admission;
-use hooktrestle_core::direct::admission::Entry;
-use hooktrestle_core::direct::admission::Owed;
+use hooktrestle_core::direct::admission::Decision;
+use hooktrestle_core::direct::admission::LatencyObjective;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -60,7 +60,7 @@
     /// Gateways, each with an admission of its own.
     pub gateways: usize,
     /// A pass with no stream.
-    pub least_pass_ms: f64,
+    pub min_pass_ms: f64,
     /// What a stream adds to its rank's own part of a pass.
     pub own_ms: f64,
     /// What a stream adds to the experts' part, shared by all ranks, while each bears the same.
@@ -93,7 +93,7 @@
     /// Streams of all groups whose passes stay within the pause that is owed.
     pub fn bearable(&self) -> usize {
         let each_ms = self.own_ms + self.experts_ms * self.skew;
-        let of_rank = (self.pause_ms - self.least_pass_ms) / each_ms;
+        let of_rank = (self.pause_ms - self.min_pass_ms) / each_ms;
         (of_rank * (self.groups * self.ranks) as f64) as usize
     }
 }
@@ -109,7 +109,7 @@
         ranks: 12,
         slots: 10,
         gateways: 6,
-        least_pass_ms: 18.0,
+        min_pass_ms: 18.0,
         own_ms: 4.0,
         experts_ms: 4.0,
         skew: 1.25,
@@ -137,9 +137,8 @@
     {
         for (groups, ranks, gateways) in sizes {
             let mut scene = Scene { groups, ranks, gateways, ..base.clone() };
-            let used_ms = USUAL_PASS_MS - scene.least_pass_ms;
-            let running =
-                scene.bearable() as f64 * used_ms / (scene.pause_ms - scene.least_pass_ms);
+            let used_ms = USUAL_PASS_MS - scene.min_pass_ms;
+            let running = scene.bearable() as f64 * used_ms / (scene.pause_ms - scene.min_pass_ms);
             scene.each_s = running * 1_000.0 / (scene.events * USUAL_PASS_MS);
             scene.bursts = if with_bursts { bursts.clone() } else { Vec::new() };
             scene.halts = if with_halts { halts.clone() } else { Vec::new() };
@@ -289,8 +288,8 @@
         }
     }
 
-    fn owed(&self) -> Owed {
-        Owed { pause_ms: self.scene.pause_ms, least_pass_ms: self.scene.least_pass_ms }
+    fn owed(&self) -> LatencyObjective {
+        LatencyObjective { pause_ms: self.scene.pause_ms, min_pass_ms: self.scene.min_pass_ms }
     }
 
     fn arrive(&mut self, now_ms: u64) {
@@ -326,36 +325,36 @@
             return self.refuse(request, Millis(HEEDED_MS), now_ms);
         }
         match self.entry(gateway, request, now_ms) {
-            Entry::Admitted => self.begin(gateway, request, now_ms),
-            Entry::Waits => {
-                self.admissions[gateway].began_to_wait();
+            Decision::Admitted => self.begin(gateway, request, now_ms),
+            Decision::Waits => {
+                self.admissions[gateway].wait_began();
                 let until = request.tried_ms + self.scene.first_ms / 2;
                 self.waiting[gateway].push((request, until));
             }
-            Entry::Refused(after) => self.refuse(request, after, now_ms),
+            Decision::Refused(after) => self.refuse(request, after, now_ms),
         }
     }
 
-    fn entry(&mut self, gateway: usize, request: Request, now_ms: u64) -> Entry {
+    fn entry(&mut self, gateway: usize, request: Request, now_ms: u64) -> Decision {
         let owed = self.owed();
         let running: usize = self.groups.iter().map(Group::streams).sum();
         let slots = self.scene.groups * self.scene.ranks * self.scene.slots;
         match self.policy {
-            Policy::All => Entry::Admitted,
+            Policy::All => Decision::Admitted,
             Policy::Fixed(most) => {
                 let own = self.groups.iter().flat_map(|group| &group.ranks);
                 let own = own.flat_map(|rank| rank.running.iter().chain(&rank.waiting));
                 let own = own.filter(|stream| stream.gateway == gateway).count();
-                if own < most { Entry::Admitted } else { Entry::Refused(Millis(1_000)) }
+                if own < most { Decision::Admitted } else { Decision::Refused(Millis(1_000)) }
             }
             Policy::Ours(_) => {
                 let spent_ms = now_ms - request.tried_ms;
                 let left_ms = self.scene.first_ms.saturating_sub(spent_ms) as f64;
                 let busy = running as f64 / slots as f64;
-                self.admissions[gateway].enter(owed, left_ms, busy, Millis(now_ms))
+                self.admissions[gateway].decide(owed, left_ms, busy, Millis(now_ms))
             }
             Policy::Oracle => self.entry_by_passes(1.0, now_ms),
-            Policy::Yields(_) if !request.came_back => Entry::Admitted,
+            Policy::Yields(_) if !request.came_back => Decision::Admitted,
             Policy::Yields(part) => self.entry_by_passes(part, now_ms),
             Policy::FreshFirst(part) => {
                 self.entry_by_passes(if request.came_back { part } else { 1.0 }, now_ms)
@@ -364,14 +363,16 @@
     }
 
     /// Whether the next pass stays within a part of what may be added to the shortest one.
-    fn entry_by_passes(&self, part: f64, now_ms: u64) -> Entry {
-        let Some(group) = self.open_group(now_ms) else { return Entry::Refused(Millis(HEEDED_MS)) };
+    fn entry_by_passes(&self, part: f64, now_ms: u64) -> Decision {
+        let Some(group) = self.open_group(now_ms) else {
+            return Decision::Refused(Millis(HEEDED_MS));
+        };
         let next_ms = self.pass_ms(group, self.groups[group].streams() + 1, now_ms);
-        let least_ms = self.scene.least_pass_ms;
+        let least_ms = self.scene.min_pass_ms;
         if next_ms - least_ms <= (self.scene.pause_ms - least_ms) * part {
-            Entry::Admitted
+            Decision::Admitted
         } else {
-            Entry::Refused(Millis(HEEDED_MS))
+            Decision::Refused(Millis(HEEDED_MS))
         }
     }
 
@@ -424,7 +425,7 @@
                     break;
                 }
                 self.waiting[gateway].pop();
-                self.admissions[gateway].waited();
+                self.admissions[gateway].wait_ended();
                 self.begin(gateway, request, now_ms);
             }
         }
@@ -437,7 +438,7 @@
         let busiest = self.groups[group].ranks.iter().map(|rank| rank.running.len()).max();
         let even = streams as f64 / scene.ranks as f64;
         let own = scene.own_ms * (busiest.unwrap_or_default() as f64).max(even);
-        scene.least_pass_ms + own + scene.experts_ms * even * skew
+        scene.min_pass_ms + own + scene.experts_ms * even * skew
     }
 
     fn step(&mut self, group: usize, now_ms: u64) {
@@ -477,11 +478,11 @@
                 let admission = &mut self.admissions[stream.gateway];
                 if stream.begun {
                     stream.in_time &= !is_long;
-                    admission.saw_pass(length_ms, now);
+                    admission.record_pass(length_ms, now);
                 } else {
                     stream.begun = true;
                     stream.in_time &= now_ms - stream.request.asked_ms <= first_ms;
-                    admission.saw_first((now_ms - stream.entered_ms) as f64);
+                    admission.record_first_event((now_ms - stream.entered_ms) as f64);
                 }
                 stream.left -= 1;
                 if stream.left == 0 {
--- a/crates/core/src/direct/attempts.rs
+++ b/crates/core/src/direct/attempts.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Next {
     /// Try another server.
-    Again,
+    Retry,
     /// Pass on the failure that the server answered.
     PassOn,
     /// Answer the caller with this.
@@ -26,7 +26,7 @@
     /// The same for logs, without the refusal.
     pub fn step(&self) -> NextStep {
         match self {
-            Next::Again => NextStep::Again,
+            Next::Retry => NextStep::Again,
             Next::PassOn => NextStep::PassOn,
             Next::GiveUp(_) => NextStep::GiveUp,
         }
@@ -34,19 +34,19 @@
 }
 
 /// Failures to connect after which a request is given up.
-const MOST_UNSENT: u32 = 4;
+const MAX_UNSENT: u32 = 4;
 
 /// When a caller whose request was not run shall come back, where servers are full: about the time in
 /// which one takes its next request.
-const COME_BACK_FULL: Millis = Millis(150);
+const RETRY_AFTER_FULL: Millis = Millis(150);
 
 /// The same where no server is there: the users' groups take 600 ms to open again once their last
 /// rank is back.
-pub const COME_BACK_NONE: Millis = Millis(800);
+pub const RETRY_AFTER_NO_SERVER: Millis = Millis(800);
 
 /// Longest time after which any caller shall come back: the users' callers wait for a third of the 8 s
 /// that they have.
-pub const COME_BACK_MOST: Millis = Millis(2_600);
+pub const MAX_RETRY_AFTER: Millis = Millis(2_600);
 
 /// The attempts of one request.
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
     }
 
     /// Whether the attempt that is out may be followed by another one.
-    pub fn has_another(&self) -> bool {
+    pub fn allows_another(&self) -> bool {
         self.sent + 1 < self.most
     }
 
@@ -102,7 +102,7 @@
 
     /// An attempt at `server` has ended without an answer for the caller. `covered` takes one
     /// repeat from the budget, and is asked only where everything else allows a repeat.
-    pub fn after(
+    pub fn after_failure(
         &mut self,
         server: Key<Server>,
         fate: Fate,
@@ -118,24 +118,24 @@
                 self.may_have_run = true;
             }
         }
-        if self.unsent >= MOST_UNSENT {
+        if self.unsent >= MAX_UNSENT {
             return self.give_up(fate);
         }
         // What was not sent costs the server nothing, so it needs no budget.
         let free = fate == Fate::NotSent && self.sent == 0;
         let allowed = self.sent < self.most && (!self.may_have_run || self.repeats);
-        if free || (allowed && covered()) { Next::Again } else { self.give_up(fate) }
+        if free || (allowed && covered()) { Next::Retry } else { self.give_up(fate) }
     }
 
     /// No server is left to try, or the time is over.
     pub fn refuse(&self, cause: Cause) -> Refusal {
         let come_back =
-            if cause == Cause::NoBackendServer { COME_BACK_NONE } else { COME_BACK_FULL };
-        self.refuse_for(cause, come_back)
+            if cause == Cause::NoBackendServer { RETRY_AFTER_NO_SERVER } else { RETRY_AFTER_FULL };
+        self.refuse_with_retry_after(cause, come_back)
     }
 
     /// The same; if it did not run, the caller may come back after so long.
-    pub fn refuse_for(&self, cause: Cause, come_back: Millis) -> Refusal {
+    pub fn refuse_with_retry_after(&self, cause: Cause, come_back: Millis) -> Refusal {
         let may_have_run = self.may_have_run();
         let verdict = if may_have_run { Verdict::MayHaveRun } else { Verdict::NotRun };
         let refusal = Refusal { verdict, cause, retry_after: None };
--- a/crates/core/src/direct/budget.rs
+++ b/crates/core/src/direct/budget.rs
@@ -25,16 +25,16 @@
 
 /// Requests and repeats of one service at one gateway.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     config: Config,
     requests: VecDeque<Millis>,
     repeats: VecDeque<Millis>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// An unspent budget.
-    pub fn new(config: Config) -> RepeatBudget {
-        RepeatBudget { config, requests: VecDeque::new(), repeats: VecDeque::new() }
+    pub fn new(config: Config) -> RetryBudget {
+        RetryBudget { config, requests: VecDeque::new(), repeats: VecDeque::new() }
     }
 
     /// Other bounds, from now on. What was spent counts on.
@@ -43,7 +43,7 @@
     }
 
     /// A request for the service came.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.expire(now);
         self.requests.push_back(now);
     }
@@ -51,7 +51,7 @@
     /// Takes one repeat if this gateway's part of the bound has one left.
     #[must_use]
     pub fn take(&mut self, now: Millis, gateways: usize) -> bool {
-        let covered = self.covers(now, gateways);
+        let covered = self.has_retry(now, gateways);
         if covered {
             self.repeats.push_back(now);
         }
@@ -59,7 +59,7 @@
     }
 
     /// Whether this gateway's part of the bound has a repeat left.
-    pub fn covers(&mut self, now: Millis, gateways: usize) -> bool {
+    pub fn has_retry(&mut self, now: Millis, gateways: usize) -> bool {
         self.expire(now);
         let slack = self.config.slack / gateways.max(1) as f64;
         let most = PART_SPENT * (self.config.ratio * self.requests.len() as f64 + slack);
--- a/crates/core/src/direct/events.rs
+++ b/crates/core/src/direct/events.rs
@@ -8,12 +8,12 @@
 
 /// What a caller has had of a stream.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct EventBuffer {
     held: Vec<u8>,
     last_id: Option<u64>,
 }
 
-impl Events {
+impl EventBuffer {
     /// The id of the last event that was passed on.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
@@ -44,7 +44,7 @@
     }
 
     /// The server has broken off: what it began is dropped.
-    pub fn broke_off(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.held.clear();
     }
 
--- a/crates/core/src/direct/outage.rs
+++ b/crates/core/src/direct/outage.rs
@@ -5,8 +5,8 @@
 //! the earlier ones did, and at first as long as a group stands and forms anew.
 
 use crate::clock::Millis;
-use crate::direct::attempts::COME_BACK_MOST;
-use crate::direct::attempts::COME_BACK_NONE;
+use crate::direct::attempts::MAX_RETRY_AFTER;
+use crate::direct::attempts::RETRY_AFTER_NO_SERVER;
 
 /// Part of the time to come back over which callers are spread.
 const SPREAD: f64 = 0.25;
@@ -31,8 +31,8 @@
     fn default() -> Self {
         Config {
             usual: Millis(2_100),
-            least: COME_BACK_NONE,
-            most: COME_BACK_MOST,
+            least: RETRY_AFTER_NO_SERVER,
+            most: MAX_RETRY_AFTER,
             noise: Millis(300),
             newest: 0.3,
         }
--- a/crates/core/src/direct/pool.rs
+++ b/crates/core/src/direct/pool.rs
@@ -25,7 +25,7 @@
 
 /// A backend server as the platform lists it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// Names one life of the server; never used again.
     pub id: String,
     /// Its service.
@@ -42,9 +42,9 @@
     pub started_unix_ms: Option<u64>,
 }
 
-impl Listed {
+impl ListedServer {
     /// Whether this tells of a life before the one that `newer` tells of.
-    fn is_life_before(&self, newer: &Listed) -> bool {
+    fn is_life_before(&self, newer: &ListedServer) -> bool {
         let (this, newer) = (self.started_unix_ms, newer.started_unix_ms);
         this.zip(newer).is_some_and(|(this, newer)| this < newer)
     }
@@ -52,11 +52,11 @@
 
 /// How an attempt at a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// An answer.
     Answered,
     /// The caller did not wait for one.
-    Left,
+    Abandoned,
     /// An answer that says the server failed.
     Failed,
     /// The server refused for want of room.
@@ -79,17 +79,17 @@
     /// Turns and reports.
     pub routing: routing::Config,
     /// After a refusal for want of room: about the time of one request's prompt.
-    pub full: Millis,
+    pub full_cooldown: Millis,
     /// After a refusal because the group stands still.
-    pub stalled: Millis,
+    pub stalled_cooldown: Millis,
     /// After the first failure to connect or overtaken request, and doubled with each further one.
-    pub unreachable: Millis,
+    pub unreachable_cooldown: Millis,
     /// Longest rest.
-    pub most: Millis,
+    pub max_cooldown: Millis,
     /// How long a server counts as slow unless that is told again.
-    pub slow: Millis,
+    pub slow_duration: Millis,
     /// Share of failed requests from which a server rests.
-    pub failing_share: f64,
+    pub failure_threshold: f64,
 }
 
 impl Default for Config {
@@ -98,28 +98,28 @@
     fn default() -> Self {
         Config {
             routing: routing::Config::default(),
-            full: Millis(60),
-            stalled: Millis(300),
-            unreachable: Millis(500),
-            most: Millis(4_000),
-            slow: slow::LASTS,
-            failing_share: 0.5,
+            full_cooldown: Millis(60),
+            stalled_cooldown: Millis(300),
+            unreachable_cooldown: Millis(500),
+            max_cooldown: Millis(4_000),
+            slow_duration: slow::LASTS,
+            failure_threshold: 0.5,
         }
     }
 }
 
 /// How much the newest result counts in the share of failed requests.
-const NEWEST_RESULT: f64 = 0.25;
+const NEWEST_RESULT_WEIGHT: f64 = 0.25;
 
 /// Failures to connect in a row that are counted: a bound on the doublings of a rest, so that none
 /// overflows. The longest rest is reached long before.
-const MOST_UNREACHABLE: u32 = 8;
+const MAX_UNREACHABLE_COUNT: u32 = 8;
 
 /// One life of a backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// As listed last.
-    pub listed: Listed,
+    pub listed: ListedServer,
     life: ServerLife,
     /// Place among the candidates of its service; `None` unless the list has it.
     place: Option<usize>,
@@ -179,7 +179,7 @@
 
     /// Takes a server as it is listed now, and when its row changed. Of those that are listed at one
     /// address, the one that was listed last has it: a server that died is listed for some seconds.
-    pub fn list(&mut self, listed: Listed, revision: impl Into<Revision>) {
+    pub fn list(&mut self, listed: ListedServer, revision: impl Into<Revision>) {
         let address = listed.address;
         self.keep(listed, revision.into());
         self.settle(address);
@@ -199,7 +199,7 @@
         }
     }
 
-    fn keep(&mut self, mut listed: Listed, revision: Revision) {
+    fn keep(&mut self, mut listed: ListedServer, revision: Revision) {
         if let Some(key) = self.by_id.get(&listed.id) {
             let server = &mut self.servers[*key];
             let known = &server.listed;
@@ -291,7 +291,7 @@
     }
 
     /// Servers that may be given work, in the order in which they were first listed.
-    pub fn open(&self) -> impl Iterator<Item = &Listed> {
+    pub fn open(&self) -> impl Iterator<Item = &ListedServer> {
         let open = self.servers.iter().filter(|(_, server)| server.is_open());
         open.map(|(_, server)| &server.listed)
     }
@@ -336,7 +336,7 @@
     }
 
     /// Part of the slots of a service's open servers that is taken, as they told last.
-    pub fn busy_part(&self, service: &str) -> f64 {
+    pub fn busy_fraction(&self, service: &str) -> f64 {
         let Some(found) = self.services.get(service) else { return 0.0 };
         let (mut taken, mut slots) = (0, 0);
         for (key, candidate) in found.servers.iter().zip(&found.candidates) {
@@ -364,7 +364,7 @@
 
     /// Whether a service has a server beside `server` and those in `tried` that has room, as far as
     /// is known, and is not slow.
-    pub fn has_other(
+    pub fn has_alternative(
         &self,
         service: &str,
         server: Key<Server>,
@@ -381,18 +381,18 @@
 
     /// Whether a server may be sent a request, whatever chose it: it may have asked for a rest since. Where it
     /// names a limit, that takes a permit as well.
-    pub fn takes(&self, key: Key<Server>, now: Millis) -> bool {
+    pub fn accepts(&self, key: Key<Server>, now: Millis) -> bool {
         let server = &self.servers[key];
         server.is_open() && server.asked.rests_until(now).is_none()
     }
 
     /// When the first server of a service takes requests again, if all that would take them have asked
     /// for a rest or are at their limits.
-    pub fn all_bound_until(&self, service: &str, now: Millis) -> Option<Millis> {
+    pub fn all_unavailable_until(&self, service: &str, now: Millis) -> Option<Millis> {
         let mut first = None;
         for key in &self.services.get(service)?.servers {
             let server = &self.servers[*key];
-            match self.bound_until(*key, now).filter(|_| server.is_open()) {
+            match self.unavailable_until(*key, now).filter(|_| server.is_open()) {
                 Some(until) => first = Some(first.map_or(until, |first| until.min(first))),
                 None if server.is_fit(now) => return None,
                 None => {}
@@ -402,26 +402,27 @@
     }
 
     /// Whether a server has asked for a rest that lasts.
-    pub fn rests(&self, key: Key<Server>, now: Millis) -> bool {
+    pub fn is_backing_off(&self, key: Key<Server>, now: Millis) -> bool {
         self.servers[key].asked.rests_until(now).is_some()
     }
 
     /// Whether whoever is listed at an address shall get no order but from its own machine: it rests, or names a
     /// limit.
-    pub fn is_closed_to_orders_at(&self, address: SocketAddr, now: Millis) -> bool {
+    pub fn accepts_only_local_orders_at(&self, address: SocketAddr, now: Millis) -> bool {
         let keys = self.by_address.get(&address);
-        let is_closed = |key: &Key<Server>| self.rests(*key, now) || self.limit(*key).is_some();
+        let is_closed =
+            |key: &Key<Server>| self.is_backing_off(*key, now) || self.limit(*key).is_some();
         keys.is_some_and(|keys| keys.iter().any(is_closed))
     }
 
     /// A server asked to be sent nothing for so long.
-    pub fn rest(&mut self, key: Key<Server>, span: Millis, now: Millis) {
+    pub fn back_off(&mut self, key: Key<Server>, span: Millis, now: Millis) {
         self.servers[key].asked.rest(span, now);
         self.limits.entry(key).or_default();
     }
 
     /// A server said itself that it leaves; returns whether that is new.
-    pub fn leave(&mut self, key: Key<Server>) -> bool {
+    pub fn mark_leaving(&mut self, key: Key<Server>) -> bool {
         let server = &mut self.servers[key];
         let is_new = !server.is_leaving();
         server.asked.leave();
@@ -429,7 +430,7 @@
     }
 
     /// A server has answered a request that it took.
-    pub fn took(&mut self, key: Key<Server>) {
+    pub fn record_answer(&mut self, key: Key<Server>) {
         let server = &mut self.servers[key];
         server.asked.took(server.listed.slots);
     }
@@ -442,14 +443,14 @@
     }
 
     /// Another server was found to have this one's address.
-    pub fn replace(&mut self, key: Key<Server>) {
+    pub fn mark_replaced(&mut self, key: Key<Server>) {
         self.servers[key].disproved = true;
         let address = self.servers[key].listed.address;
         self.settle(address);
     }
 
     /// An engine reported whether its group stands still; returns whether that is new.
-    pub fn set_standing(&mut self, key: Key<Server>, standing: bool) -> bool {
+    pub fn set_stalled(&mut self, key: Key<Server>, standing: bool) -> bool {
         let server = &mut self.servers[key];
         if !standing {
             server.rests_until = Millis::ZERO;
@@ -461,7 +462,7 @@
     /// it is told again, or for a while.
     pub fn set_slow(&mut self, service: &str, ids: &[String], age: Millis, now: Millis) {
         let Some(found) = self.services.get(service) else { return };
-        let until = now + self.config.slow - age;
+        let until = now + self.config.slow_duration - age;
         for key in &found.servers {
             let server = &mut self.servers[*key];
             let slow = ids.contains(&server.listed.id);
@@ -470,7 +471,7 @@
     }
 
     /// A server told its load.
-    pub fn report(&mut self, key: Key<Server>, running: u32, queued: u32, now: Millis) {
+    pub fn record_load(&mut self, key: Key<Server>, running: u32, queued: u32, now: Millis) {
         let report =
             Report { at: now, queued_requests: queued, running_requests: running, leaving: false };
         if let Some(candidate) = self.candidate(key) {
@@ -479,17 +480,17 @@
     }
 
     /// An attempt at a server has ended.
-    pub fn ended(&mut self, key: Key<Server>, ending: Ending, now: Millis) {
+    pub fn ended(&mut self, key: Key<Server>, ending: AttemptOutcome, now: Millis) {
         if let Some(candidate) = self.candidate(key) {
             candidate.ended();
         }
-        if ending == Ending::Replaced {
-            self.replace(key);
+        if ending == AttemptOutcome::Replaced {
+            self.mark_replaced(key);
         }
         let config = self.config;
         let server = &mut self.servers[key];
         server.count(ending);
-        let rest = server.rest_after(ending, &config).min(config.most);
+        let rest = server.rest_after(ending, &config).min(config.max_cooldown);
         server.rests_until = server.rests_until.max(now + rest);
     }
 
@@ -502,30 +503,34 @@
 
 impl Server {
     /// Counts how an attempt ended.
-    fn count(&mut self, ending: Ending) {
-        let failed = matches!(ending, Ending::Failed | Ending::Lost);
-        if failed || ending == Ending::Answered {
+    fn count(&mut self, ending: AttemptOutcome) {
+        let failed = matches!(ending, AttemptOutcome::Failed | AttemptOutcome::Lost);
+        if failed || ending == AttemptOutcome::Answered {
             let result = f64::from(u8::from(failed));
-            self.failing += (result - self.failing) * NEWEST_RESULT;
+            self.failing += (result - self.failing) * NEWEST_RESULT_WEIGHT;
         }
-        let is_silent = matches!(ending, Ending::Unreachable | Ending::Overtaken);
+        let is_silent = matches!(ending, AttemptOutcome::Unreachable | AttemptOutcome::Overtaken);
         let unreachable = if is_silent { self.unreachable + 1 } else { 0 };
-        self.unreachable = unreachable.min(MOST_UNREACHABLE);
+        self.unreachable = unreachable.min(MAX_UNREACHABLE_COUNT);
     }
 
     /// How long it rests after an ending that was counted, if nothing bounds that.
-    fn rest_after(&self, ending: Ending, config: &Config) -> Millis {
+    fn rest_after(&self, ending: AttemptOutcome, config: &Config) -> Millis {
         match ending {
-            Ending::Answered | Ending::Left | Ending::Replaced => Millis::ZERO,
-            Ending::Full => config.full,
-            Ending::Stalled => config.stalled,
-            Ending::Unreachable | Ending::Overtaken => {
-                Millis(config.unreachable.0 << (self.unreachable - 1))
+            AttemptOutcome::Answered | AttemptOutcome::Abandoned | AttemptOutcome::Replaced => {
+                Millis::ZERO
             }
-            Ending::Failed | Ending::Lost if self.failing > config.failing_share => {
-                Millis(config.unreachable.0 * 2)
+            AttemptOutcome::Full => config.full_cooldown,
+            AttemptOutcome::Stalled => config.stalled_cooldown,
+            AttemptOutcome::Unreachable | AttemptOutcome::Overtaken => {
+                Millis(config.unreachable_cooldown.0 << (self.unreachable - 1))
             }
-            Ending::Failed | Ending::Lost => Millis::ZERO,
+            AttemptOutcome::Failed | AttemptOutcome::Lost
+                if self.failing > config.failure_threshold =>
+            {
+                Millis(config.unreachable_cooldown.0 * 2)
+            }
+            AttemptOutcome::Failed | AttemptOutcome::Lost => Millis::ZERO,
         }
     }
 
--- a/crates/core/src/direct/pool/limits.rs
+++ b/crates/core/src/direct/pool/limits.rs
@@ -17,23 +17,24 @@
 
 impl Pool {
     /// Takes what a server said of its limit.
-    pub fn hear_limit(&mut self, key: Key<Server>, said: Said) -> Heard {
+    pub fn merge_limit(&mut self, key: Key<Server>, said: Said) -> Heard {
         let limited = self.limits.entry(key).or_default();
         limited.hear(said)
     }
 
     /// The same of a server by its life; one that is not known is passed over.
-    pub fn hear_limit_of(&mut self, life: ServerLife, said: Said) -> Heard {
+    pub fn merge_limit_of(&mut self, life: ServerLife, said: Said) -> Heard {
         match self.by_life.get(&life).copied() {
-            Some(key) => self.hear_limit(key, said),
+            Some(key) => self.merge_limit(key, said),
             None => Heard::Known,
         }
     }
 
     /// What the listed servers have said of their limits, as far as others may not know.
-    pub fn limits_said(&self, now: Millis) -> Vec<(ServerLife, Said)> {
+    pub fn advertised_limits(&self, now: Millis) -> Vec<(ServerLife, Said)> {
         let listed = self.limits.iter().filter(|(key, _)| self.is_present(**key));
-        let said = listed.filter_map(|(key, limited)| Some((self.life(*key), limited.said()?)));
+        let said =
+            listed.filter_map(|(key, limited)| Some((self.incarnation(*key), limited.said()?)));
         said.filter(|(_, said)| said.limit.is_some() || now.since(said.latest) < TOLD_FOR).collect()
     }
 
@@ -43,7 +44,7 @@
     }
 
     /// What a server has said of its limit.
-    pub fn limit_said(&self, life: ServerLife) -> Option<Said> {
+    pub fn advertised_limit(&self, life: ServerLife) -> Option<Said> {
         self.limited(*self.by_life.get(&life)?).and_then(Limited::said)
     }
 
@@ -53,23 +54,25 @@
     }
 
     /// Stands for one life of a server.
-    pub fn life(&self, key: Key<Server>) -> ServerLife {
+    pub fn incarnation(&self, key: Key<Server>) -> ServerLife {
         self.servers[key].life
     }
 
     /// Takes a permit for one request to a server, or says what is to be done for one.
     pub fn take_permit(&mut self, key: Key<Server>, now: Millis) -> Permission {
-        let returning = self.returning(key, now);
-        self.limits.get_mut(&key).map_or(Permission::Free, |limited| limited.take(returning, now))
+        let ramp_up_rate = self.ramp_up_rate(key, now);
+        self.limits
+            .get_mut(&key)
+            .map_or(Permission::Free, |limited| limited.take(ramp_up_rate, now))
     }
 
     /// What all gateways together send a server, while it comes back from a rest.
-    pub fn returning(&self, key: Key<Server>, now: Millis) -> Option<Rate> {
+    pub fn ramp_up_rate(&self, key: Key<Server>, now: Millis) -> Option<Rate> {
         self.servers[key].asked.returning(now)
     }
 
     /// Takes the answer to one who asked for permits.
-    pub fn permits_given(&mut self, key: Key<Server>, given: Given, asked_at: Millis, now: Millis) {
+    pub fn record_grant(&mut self, key: Key<Server>, given: Given, asked_at: Millis, now: Millis) {
         if let Some(limited) = self.limits.get_mut(&key) {
             limited.given(given.permits, given.again_in, asked_at, now);
         }
@@ -89,7 +92,7 @@
     }
 
     /// A server that was chosen is sent nothing: its turn is given back.
-    pub fn give_back(&mut self, key: Key<Server>, cost: f64) {
+    pub fn undo_choice(&mut self, key: Key<Server>, cost: f64) {
         if let Some(candidate) = self.candidate(key) {
             candidate.ended();
             candidate.turns -= cost;
@@ -97,7 +100,7 @@
     }
 
     /// Until when a server is sent nothing, by what it asked: it rests, or there is no permit.
-    pub(super) fn bound_until(&self, key: Key<Server>, now: Millis) -> Option<Millis> {
+    pub(super) fn unavailable_until(&self, key: Key<Server>, now: Millis) -> Option<Millis> {
         let rests = self.servers[key].asked.rests_until(now);
         let lacks = self.limited(key).and_then(|limited| limited.bound_until(now));
         rests.max(lacks)
--- a/crates/core/src/direct/serving.rs
+++ b/crates/core/src/direct/serving.rs
@@ -1,6 +1,6 @@
 //! The configuration in force at a gateway: which service a request goes to, and who may ask.
 //!
-//! A [`Serving`] is immutable and shared by the requests that began under it; a newer version
+//! A [`ServingConfig`] is immutable and shared by the requests that began under it; a newer version
 //! replaces it whole.
 
 use std::collections::HashMap;
@@ -52,7 +52,7 @@
     /// Where its requests go.
     pub splits: Vec<Split>,
     /// Most backend servers that one request may be sent to.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
     /// Whether a broken stream may be taken up at another server.
@@ -61,7 +61,7 @@
 
 impl Route {
     /// Whether a request that may have run may be sent again.
-    pub fn repeats(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
             RouteKind::Once => false,
@@ -145,9 +145,9 @@
     /// Its name.
     pub name: String,
     /// Connections that one of its servers takes from all callers together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Length of a pass of its engines with next to no work; zero where that is not told.
-    pub least_pass_ms: f64,
+    pub min_pass_ms: f64,
     /// Its engine's experts, if groups of ranks serve it.
     pub experts: Option<ExpertShape>,
 }
@@ -161,17 +161,17 @@
     UnknownKey,
 }
 
-/// Place of a route in its [`Serving`].
+/// Place of a route in its [`ServingConfig`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RouteKey(usize);
 
-/// Place of an account in its [`Serving`].
+/// Place of an account in its [`ServingConfig`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AccountKey(usize);
 
 /// A whole configuration, indexed for lookups.
 #[derive(Clone, Debug, Default)]
-pub struct Serving {
+pub struct ServingConfig {
     /// Rises with each change; 0 is none.
     pub version: u64,
     /// Bounds of what callers send.
@@ -184,7 +184,7 @@
     by_key: HashMap<String, AccountKey>,
 }
 
-impl Serving {
+impl ServingConfig {
     /// Indexes a configuration.
     pub fn new(
         version: u64,
@@ -192,7 +192,7 @@
         services: Vec<Service>,
         accounts: Vec<Account>,
         limits: CallerLimits,
-    ) -> Serving {
+    ) -> ServingConfig {
         let mut by_host: HashMap<String, HashMap<String, RouteKey>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             let prefixes = by_host.entry(route.host.clone()).or_default();
@@ -203,7 +203,7 @@
             by_key.extend(account.keys.iter().map(|key| (key.clone(), AccountKey(index))));
         }
         let services = services.into_iter().map(|one| (one.name.clone(), one)).collect();
-        Serving { version, limits, services, routes, accounts, by_host, by_key }
+        ServingConfig { version, limits, services, routes, accounts, by_host, by_key }
     }
 
     /// The route of `host` with the longest prefix that begins `path`, and the account of `key`.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,7 +30,7 @@
 //! - [`acceptance`]: edited rows to the next configuration.
 //! - [`config`]: the configuration in force.
 //! - [`verdict`]: whether a request may have run.
-//! - [`standstill`]: when the process stood still.
+//! - [`suspension`]: when the process stood still.
 //! - [`clock`], [`id`], [`util`]: time, names, arenas.
 
 pub mod acceptance;
@@ -50,7 +50,7 @@
 pub mod retry;
 pub mod routing;
 pub mod rows;
-pub mod standstill;
 pub mod subset;
+pub mod suspension;
 pub mod util;
 pub mod verdict;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -10,12 +10,12 @@
     /// Retries earned by a hundred first attempts.
     pub percent: u32,
     /// Most retries saved up, so that a quiet gateway can still retry.
-    pub most_saved: u32,
+    pub max_saved: u32,
 }
 
 impl Default for Config {
     fn default() -> Self {
-        Config { percent: 10, most_saved: 20 }
+        Config { percent: 10, max_saved: 20 }
     }
 }
 
@@ -30,12 +30,12 @@
 impl RetryBudget {
     /// A full budget.
     pub fn new(config: Config) -> RetryBudget {
-        RetryBudget { config, saved: config.most_saved * 100 }
+        RetryBudget { config, saved: config.max_saved * 100 }
     }
 
     /// A first attempt has been made.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.config.percent).min(self.config.most_saved * 100);
+        self.saved = (self.saved + self.config.percent).min(self.config.max_saved * 100);
     }
 
     /// Takes one retry, if there is one.
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -24,12 +24,12 @@
     /// Turns lost for each request beyond that.
     pub turns_per_request: f64,
     /// Time after which a report counts for a third.
-    pub fades_ms: f64,
+    pub decay_ms: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
-        Config { tolerated_requests: 6.0, turns_per_request: 0.3, fades_ms: 3_000.0 }
+        Config { tolerated_requests: 6.0, turns_per_request: 0.3, decay_ms: 3_000.0 }
     }
 }
 
@@ -105,7 +105,7 @@
     let floor = most_turns - mean_weight / f64::from(lightest);
     let score = |index: usize| {
         let candidate = &candidates[index];
-        let fresh = (-(now.since(candidate.report.at).0 as f64) / config.fades_ms).exp();
+        let fresh = (-(now.since(candidate.report.at).0 as f64) / config.decay_ms).exp();
         let beyond = (candidate.load() - mean_load) * mean_weight - config.tolerated_requests;
         candidate.turns.max(floor) + config.turns_per_request * beyond.max(0.0) * fresh
     };
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -9,14 +9,14 @@
 use crate::util::hash;
 
 /// Backend servers of one service that a gateway links to.
-pub const SERVERS_FOR_GATEWAY: usize = 16;
+pub const SERVERS_PER_GATEWAY: usize = 16;
 
 /// Gateways that callers of one service are given.
-pub const GATEWAYS_FOR_SERVICE: usize = 24;
+pub const GATEWAYS_PER_SERVICE: usize = 24;
 
 /// Out of so many chosen servers, one is taken wherever it stands, so that the loss of a data
 /// centre leaves links that work.
-const ONE_FAR_IN: usize = 3;
+const ANY_CENTRE_ONE_IN: usize = 3;
 
 /// An instance to choose from.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
     /// Its name.
     pub name: &'a str,
     /// Whether it stands in the chooser's own data centre.
-    pub is_near: bool,
+    pub is_local: bool,
 }
 
 /// Chooses up to `most` of the instances for `subject`, by index. Most of them are near, if there
@@ -40,8 +40,8 @@
         .map(|(index, instance)| (hash::score(subject, instance.name), index))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let near_wanted = most - most / ONE_FAR_IN;
-    let near = ranked.iter().filter(|(_, index)| instances[*index].is_near);
+    let near_wanted = most - most / ANY_CENTRE_ONE_IN;
+    let near = ranked.iter().filter(|(_, index)| instances[*index].is_local);
     let mut chosen: Vec<usize> = near.take(near_wanted).map(|(_, index)| *index).collect();
     for (_, index) in ranked {
         if chosen.len() == most {
--- a/crates/core/src/standstill.rs
+++ b/crates/core/src/suspension.rs
@@ -8,21 +8,21 @@
 
 /// Shortest time between two readings that counts as a standstill. A gateway reads its clock at each round of
 /// news, each 0.6 s at the latest, and others wait 3 s for a heartbeat before they miss it.
-pub const LEAST: Millis = Millis(2_000);
+pub const MIN_SUSPENSION: Millis = Millis(2_000);
 
 /// When a process stood still last.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standstill {
+pub struct SuspensionDetector {
     read_at: Millis,
     lasted: Millis,
     ended_at: Option<Millis>,
 }
 
-impl Standstill {
+impl SuspensionDetector {
     /// The clock was read.
-    pub fn read(&mut self, now: Millis) {
+    pub fn observe_clock(&mut self, now: Millis) {
         let gap = now.since(self.read_at);
-        if self.read_at > Millis::ZERO && gap >= LEAST {
+        if self.read_at > Millis::ZERO && gap >= MIN_SUSPENSION {
             self.lasted = gap;
             self.ended_at = Some(now);
         }
--- a/crates/core/tests/asked.rs
+++ b/crates/core/tests/asked.rs
@@ -15,8 +15,8 @@
 use hooktrestle_core::direct::permits::Given;
 use hooktrestle_core::direct::permits::Permits;
 use hooktrestle_core::direct::pool;
-use hooktrestle_core::direct::pool::Ending;
-use hooktrestle_core::direct::pool::Listed;
+use hooktrestle_core::direct::pool::AttemptOutcome;
+use hooktrestle_core::direct::pool::ListedServer;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::util::arena::Key;
@@ -27,8 +27,8 @@
 /// Seeds of the model in CI.
 const SEEDS: u64 = 40;
 
-fn listed(id: &str, port: u16, started: Option<u64>) -> Listed {
-    Listed {
+fn listed(id: &str, port: u16, started: Option<u64>) -> ListedServer {
+    ListedServer {
         id: id.to_owned(),
         service: "hints".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -90,28 +90,28 @@
 #[test]
 fn of_rests_that_overlap_the_last_to_end_binds() {
     let (mut pool, a, b) = pair();
-    pool.rest(a, Millis(3_000), Millis(100));
-    pool.rest(a, Millis(500), Millis(200));
+    pool.back_off(a, Millis(3_000), Millis(100));
+    pool.back_off(a, Millis(500), Millis(200));
     for now in [201, 3_099] {
         assert_eq!(choose(&mut pool, now), Some(b));
-        assert!(!pool.takes(a, Millis(now)));
+        assert!(!pool.accepts(a, Millis(now)));
     }
-    assert!(pool.takes(a, Millis(3_100)));
-    assert_eq!(pool.all_bound_until("hints", Millis(201)), None, "one takes requests");
-    pool.rest(b, Millis(9_000), Millis(200));
-    assert_eq!(pool.all_bound_until("hints", Millis(201)), Some(Millis(3_100)));
+    assert!(pool.accepts(a, Millis(3_100)));
+    assert_eq!(pool.all_unavailable_until("hints", Millis(201)), None, "one takes requests");
+    pool.back_off(b, Millis(9_000), Millis(200));
+    assert_eq!(pool.all_unavailable_until("hints", Millis(201)), Some(Millis(3_100)));
     assert_eq!(choose(&mut pool, 201), None, "nobody is a last resort");
 }
 
 #[test]
 fn no_report_ends_a_rest() {
     let (mut pool, a, b) = pair();
-    pool.rest(a, Millis(3_000), Millis(100));
-    pool.set_standing(a, true);
-    pool.set_standing(a, false);
+    pool.back_off(a, Millis(3_000), Millis(100));
+    pool.set_stalled(a, true);
+    pool.set_stalled(a, false);
     pool.set_slow("hints", &["b".to_owned()], Millis::ZERO, Millis(150));
-    pool.ended(b, Ending::Unreachable, Millis(150));
-    pool.list(Listed { slots: 9, ..listed("a", 1, None) }, 7);
+    pool.ended(b, AttemptOutcome::Unreachable, Millis(150));
+    pool.list(ListedServer { slots: 9, ..listed("a", 1, None) }, 7);
     assert_eq!(
         choose(&mut pool, 200),
         Some(b),
@@ -125,9 +125,9 @@
 #[test]
 fn a_new_life_owes_nothing_and_an_older_one_says_nothing() {
     let (mut pool, a, b) = pair();
-    pool.rest(a, MOST_REST, Millis(100));
-    pool.rest(b, MOST_REST, Millis(100));
-    pool.leave(b);
+    pool.back_off(a, MOST_REST, Millis(100));
+    pool.back_off(b, MOST_REST, Millis(100));
+    pool.mark_leaving(b);
     pool.list(listed("a", 1, Some(6)), 2);
     pool.list(listed("b", 2, Some(4)), 3);
     let new = choose(&mut pool, 200).expect("its new life takes requests");
@@ -139,7 +139,7 @@
 #[test]
 fn a_server_comes_back_with_one_request_and_twice_as_many_with_each_answer() {
     let (mut pool, a, b) = pair();
-    pool.rest(a, Millis(1_000), Millis(0));
+    pool.back_off(a, Millis(1_000), Millis(0));
     let mut at_once = Vec::new();
     for answers in 0..5 {
         let mut most = 0;
@@ -150,16 +150,16 @@
             chosen.push(key);
         }
         at_once.push(most);
-        chosen
-            .into_iter()
-            .for_each(|key| pool.ended(key, Ending::Answered, Millis(2_100 + 1_000 * answers)));
-        pool.took(a);
+        chosen.into_iter().for_each(|key| {
+            pool.ended(key, AttemptOutcome::Answered, Millis(2_100 + 1_000 * answers))
+        });
+        pool.record_answer(a);
         assert!(answers < 4 || most >= 8, "it has all its turns again");
     }
     assert_eq!(at_once[..3], [1, 2, 4]);
     // Rather too many than a refusal, where no other server is left.
-    pool.rest(a, Millis(1_000), Millis(9_000));
-    pool.rest(b, MOST_REST, Millis(9_000));
+    pool.back_off(a, Millis(1_000), Millis(9_000));
+    pool.back_off(b, MOST_REST, Millis(9_000));
     assert!((0..4).all(|number| choose(&mut pool, 10_001 + number) == Some(a)));
 }
 
@@ -169,7 +169,7 @@
     const GATEWAYS: usize = 40;
     let (pool, a, b) = pair();
     let mut pools = vec![pool; GATEWAYS];
-    pools.iter_mut().for_each(|pool| pool.rest(a, Millis(1_000), Millis(0)));
+    pools.iter_mut().for_each(|pool| pool.back_off(a, Millis(1_000), Millis(0)));
     let mut permits = Permits::new(Millis(0));
     let mut sent = [0; 4];
     for now in 1_000..5_000 {
@@ -178,35 +178,35 @@
         let chosen = choose(pool, now).expect("both are there");
         let taken = match pool.take_permit(chosen, Millis(now)) {
             Permission::Ask(wanted) => {
-                let rate = pool.returning(a, Millis(now)).expect("it comes back");
-                let life = pool.life(chosen);
+                let rate = pool.ramp_up_rate(a, Millis(now)).expect("it comes back");
+                let life = pool.incarnation(chosen);
                 let first = 1.0;
                 let gateways = Some(GATEWAYS);
                 let given = permits.give(life, rate, wanted, first, gateways, Millis(now));
-                pool.permits_given(chosen, given, Millis(now), Millis(now));
+                pool.record_grant(chosen, given, Millis(now), Millis(now));
                 given.permits > 0 && pool.take_permit(chosen, Millis(now)) != Permission::None
             }
             taken => taken != Permission::None,
         };
         if taken {
             sent[(now / 1_000 - 1) as usize] += usize::from(chosen == a);
-            pool.ended(chosen, Ending::Answered, Millis(now));
+            pool.ended(chosen, AttemptOutcome::Answered, Millis(now));
             if chosen == a {
-                pool.took(a);
+                pool.record_answer(a);
             }
         } else {
-            pool.give_back(chosen, 1.0);
+            pool.undo_choice(chosen, 1.0);
         }
     }
     assert!(sent[0] <= 3 && sent[1] <= 12, "{sent:?}");
     assert!(sent[3] > 300, "it has all its turns again: {sent:?}");
     // Rather too many than a refusal, where no other server is left.
     let pool = &mut pools[0];
-    pool.rest(a, Millis(1_000), Millis(9_000));
-    pool.rest(b, MOST_REST, Millis(9_000));
+    pool.back_off(a, Millis(1_000), Millis(9_000));
+    pool.back_off(b, MOST_REST, Millis(9_000));
     assert_eq!(choose(pool, 10_001), Some(a));
     assert_eq!(pool.take_permit(a, Millis(10_001)), Permission::Ask(1));
-    pool.permits_given(a, Given::default(), Millis(10_001), Millis(10_002));
+    pool.record_grant(a, Given::default(), Millis(10_001), Millis(10_002));
     assert_eq!(choose(pool, 10_003), Some(a));
     assert_eq!(pool.take_permit(a, Millis(10_003)), Permission::Free);
 }
--- a/crates/core/tests/asking_fleet/mod.rs
+++ b/crates/core/tests/asking_fleet/mod.rs
@@ -9,8 +9,8 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::asked;
 use hooktrestle_core::direct::pool;
-use hooktrestle_core::direct::pool::Ending;
-use hooktrestle_core::direct::pool::Listed;
+use hooktrestle_core::direct::pool::AttemptOutcome;
+use hooktrestle_core::direct::pool::ListedServer;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::util::arena::Key;
@@ -103,8 +103,8 @@
     seen: Seen,
 }
 
-fn listed(server: usize, life: u64, slots: u32) -> Listed {
-    Listed {
+fn listed(server: usize, life: u64, slots: u32) -> ListedServer {
+    ListedServer {
         id: format!("s{server}"),
         service: SERVICE.to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1_000 + server as u16)),
@@ -199,7 +199,7 @@
                     let pool = &mut self.pools[gateway];
                     let keys = pool.present_of(SERVICE);
                     let key = keys.into_iter().find(|key| number(pool, *key) == server);
-                    pool.set_standing(key.expect("listed"), self.standing[group]);
+                    pool.set_stalled(key.expect("listed"), self.standing[group]);
                 }
             }
         }
@@ -218,10 +218,10 @@
     fn request(&mut self, gateway: usize, now: Millis) {
         let pool = &mut self.pools[gateway];
         let chosen = pool.choose(SERVICE, &[], 1.0, now, &mut self.rng);
-        let told = pool.all_bound_until(SERVICE, now);
+        let told = pool.all_unavailable_until(SERVICE, now);
         let Some(key) = chosen else { return self.refused(gateway, told, now) };
         let server = number(pool, key);
-        if !pool.takes(key, now) || told.is_some() {
+        if !pool.accepts(key, now) || told.is_some() {
             self.broken(now, format!("gateway {gateway} chooses s{server}, and {told:?}"));
         }
         if let Some(until) = self.bound_until(gateway, server, now) {
@@ -275,23 +275,27 @@
             // Of a life that is over; nothing is known by its name any more.
             return;
         }
-        pool.ended(key, if says.refuses { Ending::Full } else { Ending::Answered }, now);
+        pool.ended(
+            key,
+            if says.refuses { AttemptOutcome::Full } else { AttemptOutcome::Answered },
+            now,
+        );
         if !says.refuses {
-            pool.took(key);
+            pool.record_answer(key);
         }
         let heard = Heard { gateway, server, life, heard: now, until: None };
         if let Some(span) = says.rest.and_then(|index| asked::rest(TOLD[index])) {
             self.seen.rests += 1;
             self.heard.push(Heard { until: Some(now + span), ..heard });
             if self.hears != Hears::NoRest {
-                self.pools[gateway].rest(key, span, now);
+                self.pools[gateway].back_off(key, span, now);
             }
         }
         if says.leaves {
             self.seen.left += 1;
             self.heard.push(heard);
             if self.hears != Hears::NoLeaving {
-                self.pools[gateway].leave(key);
+                self.pools[gateway].mark_leaving(key);
             }
         }
     }
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -10,14 +10,14 @@
 use hooktrestle_core::direct::attempts::Fate;
 use hooktrestle_core::direct::attempts::Next;
 use hooktrestle_core::direct::budget;
-use hooktrestle_core::direct::budget::RepeatBudget;
-use hooktrestle_core::direct::events::Events;
+use hooktrestle_core::direct::budget::RetryBudget;
+use hooktrestle_core::direct::events::EventBuffer;
 use hooktrestle_core::direct::expert_plan;
 use hooktrestle_core::direct::holders::Holders;
 use hooktrestle_core::direct::holders::Rank;
 use hooktrestle_core::direct::pool;
-use hooktrestle_core::direct::pool::Ending;
-use hooktrestle_core::direct::pool::Listed;
+use hooktrestle_core::direct::pool::AttemptOutcome;
+use hooktrestle_core::direct::pool::ListedServer;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::direct::slow::Finding;
@@ -31,8 +31,8 @@
 use rand_chacha::ChaCha8Rng;
 use support::seeded;
 
-fn listed(id: &str, port: u16, leaving: bool) -> Listed {
-    Listed {
+fn listed(id: &str, port: u16, leaving: bool) -> ListedServer {
+    ListedServer {
         id: id.to_owned(),
         service: "hints".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -54,7 +54,7 @@
 fn chosen(pool: &mut Pool, tried: &[Key<Server>], now: u64) -> Option<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let key = pool.choose("hints", tried, 1.0, Millis(now), &mut rng)?;
-    pool.ended(key, Ending::Answered, Millis(now));
+    pool.ended(key, AttemptOutcome::Answered, Millis(now));
     Some(pool.server(key).listed.id.clone())
 }
 
@@ -106,7 +106,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let key = pool.choose("hints", &[], 1.0, Millis(0), &mut rng).unwrap();
     assert_eq!(pool.server(key).listed.id, "dead");
-    pool.ended(key, Ending::Replaced, Millis(0));
+    pool.ended(key, AttemptOutcome::Replaced, Millis(0));
     assert_eq!(chosen(&mut pool, &[], 0).as_deref(), Some("new"));
     pool.unlist("dead");
     assert_eq!(chosen(&mut pool, &[], 0).as_deref(), Some("new"));
@@ -128,12 +128,12 @@
 fn a_server_that_is_born_anew_under_its_name_is_another_server() {
     let mut pool = Pool::new(pool::Config::default());
     let life =
-        |born, leaving| Listed { started_unix_ms: Some(born), ..listed("s", 1_000, leaving) };
+        |born, leaving| ListedServer { started_unix_ms: Some(born), ..listed("s", 1_000, leaving) };
     pool.list(life(500, false), 1);
     let first = pool.present_of("hints")[0];
-    pool.report(first, 4, 9, Millis(10));
-    pool.set_standing(first, true);
-    pool.ended(first, Ending::Unreachable, Millis(10));
+    pool.record_load(first, 4, 9, Millis(10));
+    pool.set_stalled(first, true);
+    pool.ended(first, AttemptOutcome::Unreachable, Millis(10));
     assert_eq!(chosen(&mut pool, &[], 11), None);
     pool.list(life(600, false), 2);
     let second = pool.present_of("hints")[0];
@@ -146,7 +146,7 @@
         Some("s"),
         "an older life leaves, not this one"
     );
-    pool.ended(first, Ending::Unreachable, Millis(14));
+    pool.ended(first, AttemptOutcome::Unreachable, Millis(14));
     assert_eq!(pool.present_of("hints"), vec![second]);
     assert_eq!(
         chosen(&mut pool, &[], 15).as_deref(),
@@ -160,7 +160,7 @@
     let mut pool = pool(&["a"]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let key = pool.choose("hints", &[], 1.0, Millis(0), &mut rng).unwrap();
-    pool.ended(key, Ending::Replaced, Millis(0));
+    pool.ended(key, AttemptOutcome::Replaced, Millis(0));
     assert_eq!(chosen(&mut pool, &[], 1_000_000), None);
 }
 
@@ -170,13 +170,13 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let key = pool.choose("hints", &[], 1.0, Millis(0), &mut rng).unwrap();
     let other = if pool.server(key).listed.id == "a" { "b" } else { "a" };
-    pool.ended(key, Ending::Unreachable, Millis(0));
+    pool.ended(key, AttemptOutcome::Unreachable, Millis(0));
     for _ in 0..10 {
         assert_eq!(chosen(&mut pool, &[], 100).as_deref(), Some(other));
     }
     pool.unlist(other);
     assert!(chosen(&mut pool, &[], 100).is_some(), "resting is better than refusing");
-    pool.set_standing(key, true);
+    pool.set_stalled(key, true);
     assert_eq!(chosen(&mut pool, &[], 100), None, "a group that stands still refuses");
 }
 
@@ -190,8 +190,8 @@
     for first in fates {
         for second in fates {
             let mut attempts = Attempts::new(9, true);
-            attempts.after(key(), first, || true);
-            attempts.after(key(), second, || true);
+            attempts.after_failure(key(), first, || true);
+            attempts.after_failure(key(), second, || true);
             let refusal = attempts.refuse(Cause::NoBackendServer);
             let ran = |fate| matches!(fate, Fate::MayHaveRun | Fate::Failed);
             let not_run = !ran(first) && !ran(second);
@@ -206,31 +206,31 @@
     let mut attempts = Attempts::new(2, true);
     attempts.begin();
     assert_eq!(attempts.refuse(Cause::DeadlinePassed).verdict, Verdict::MayHaveRun);
-    attempts.after(key(), Fate::NotRun, || true);
+    attempts.after_failure(key(), Fate::NotRun, || true);
     assert_eq!(attempts.refuse(Cause::DeadlinePassed).verdict, Verdict::NotRun);
 }
 
 #[test]
 fn what_must_not_run_twice_is_not_sent_again_unless_it_did_not_run() {
     let mut once = Attempts::new(3, false);
-    assert_eq!(once.after(key(), Fate::NotRun, || true), Next::Again);
-    assert!(matches!(once.after(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
+    assert_eq!(once.after_failure(key(), Fate::NotRun, || true), Next::Retry);
+    assert!(matches!(once.after_failure(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
     let mut failed = Attempts::new(3, false);
-    assert_eq!(failed.after(key(), Fate::Failed, || true), Next::PassOn);
+    assert_eq!(failed.after_failure(key(), Fate::Failed, || true), Next::PassOn);
 }
 
 #[test]
 fn attempts_and_the_budget_bound_what_is_sent() {
     let mut attempts = Attempts::new(2, true);
-    assert_eq!(attempts.after(key(), Fate::MayHaveRun, || true), Next::Again);
-    assert!(matches!(attempts.after(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
+    assert_eq!(attempts.after_failure(key(), Fate::MayHaveRun, || true), Next::Retry);
+    assert!(matches!(attempts.after_failure(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
     let mut poor = Attempts::new(2, true);
-    assert!(matches!(poor.after(key(), Fate::NotRun, || false), Next::GiveUp(_)));
+    assert!(matches!(poor.after_failure(key(), Fate::NotRun, || false), Next::GiveUp(_)));
     let mut unsent = Attempts::new(2, true);
     for _ in 0..3 {
-        assert_eq!(unsent.after(key(), Fate::NotSent, || false), Next::Again);
+        assert_eq!(unsent.after_failure(key(), Fate::NotSent, || false), Next::Retry);
     }
-    assert!(matches!(unsent.after(key(), Fate::NotSent, || false), Next::GiveUp(_)));
+    assert!(matches!(unsent.after_failure(key(), Fate::NotSent, || false), Next::GiveUp(_)));
 }
 
 #[test]
@@ -242,7 +242,7 @@
     let port = pool.server(held).listed.address.port();
     pool.unlist(&id);
     // It ends while it is not listed; whoever stands in its place now has nothing to do with it.
-    pool.ended(held, Ending::Unreachable, Millis(0));
+    pool.ended(held, AttemptOutcome::Unreachable, Millis(0));
     pool.list(listed(&id, port, false), 5);
     assert_eq!(pool.present_of("hints").len(), 3);
     let others = pool.present_of("hints").into_iter().filter(|key| *key != held);
@@ -307,7 +307,7 @@
 #[test]
 fn changed_bounds_hold_at_once_and_what_was_spent_counts_on() {
     let config = budget::Config { ratio: 0.0, slack: 4.0, window: Millis(1_000) };
-    let mut budget = RepeatBudget::new(config);
+    let mut budget = RetryBudget::new(config);
     assert!(budget.take(Millis(0), 1) && budget.take(Millis(0), 1));
     assert!(!budget.take(Millis(0), 1), "half of the slack is spent");
     budget.set_config(budget::Config { slack: 6.0, ..config });
@@ -352,7 +352,7 @@
             prop_assert!(id.is_none_or(|id| open.contains(&id)));
             running.extend(key);
             if step % 3 == 2 {
-                running.drain(..).for_each(|key| pool.ended(key, Ending::Answered, now));
+                running.drain(..).for_each(|key| pool.ended(key, AttemptOutcome::Answered, now));
             }
         }
     }
@@ -388,17 +388,17 @@
         restart_at in 0u64..6_000,
     ) {
         let config = budget::Config { ratio: 0.2, slack: 12.0, window: Millis(1_000) };
-        let mut budgets = vec![RepeatBudget::new(config); 4];
+        let mut budgets = vec![RetryBudget::new(config); 4];
         let (mut now, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
         let mut restarted = false;
         for (pause, gateway, is_request) in events {
             now += pause;
             if now >= restart_at && !restarted {
-                budgets = vec![RepeatBudget::new(config); 4];
+                budgets = vec![RetryBudget::new(config); 4];
                 restarted = true;
             }
             if is_request {
-                budgets[gateway].request(Millis(now));
+                budgets[gateway].record_request(Millis(now));
                 requests.push(now);
             } else if budgets[gateway].take(Millis(now), 4) {
                 repeats.push(now);
@@ -423,9 +423,9 @@
             .map(|(id, length)| format!("id: {id}\ndata: {}\n\n", "x".repeat(*length)))
             .collect();
         let whole: Vec<u8> = texts.concat().into_bytes();
-        let mut events = Events::default();
+        let mut events = EventBuffer::default();
         let mut passed = Vec::new();
-        let mut feed = |events: &mut Events, bytes: &[u8]| {
+        let mut feed = |events: &mut EventBuffer, bytes: &[u8]| {
             let mut rest = bytes;
             for cut in cuts.iter().cycle() {
                 if rest.is_empty() {
@@ -437,7 +437,7 @@
             }
         };
         feed(&mut events, &whole[..breaks_after.min(whole.len())]);
-        events.broke_off();
+        events.discard_partial();
         // The next server goes on after the last whole event; one that ignores that begins anew.
         feed(&mut events, &whole);
         passed.extend(events.end());
--- a/crates/core/tests/direct_tables.rs
+++ b/crates/core/tests/direct_tables.rs
@@ -13,7 +13,7 @@
 use hooktrestle_core::direct::serving::Denial;
 use hooktrestle_core::direct::serving::Route;
 use hooktrestle_core::direct::serving::RouteKind;
-use hooktrestle_core::direct::serving::Serving;
+use hooktrestle_core::direct::serving::ServingConfig;
 use hooktrestle_core::direct::serving::Split;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -30,15 +30,15 @@
         pause_ms: None,
         priority: 1,
         splits: vec![Split { service: "hints".to_owned(), weight: 1 }],
-        most_attempts: 2,
+        max_attempts: 2,
         anonymous,
         resumable: false,
     }
 }
 
-fn serving(routes: Vec<Route>) -> Serving {
+fn serving(routes: Vec<Route>) -> ServingConfig {
     let account = Account { name: "paper".to_owned(), keys: vec!["k1".to_owned()], priority: None };
-    Serving::new(7, routes, Vec::new(), vec![account], CallerLimits::default())
+    ServingConfig::new(7, routes, Vec::new(), vec![account], CallerLimits::default())
 }
 
 #[test]
--- a/crates/core/tests/overtaken.rs
+++ b/crates/core/tests/overtaken.rs
@@ -4,7 +4,7 @@
 use hooktrestle_core::direct::overtaken::Config;
 use hooktrestle_core::direct::overtaken::Heads;
 use hooktrestle_core::direct::overtaken::Next;
-use hooktrestle_core::direct::pool::Listed;
+use hooktrestle_core::direct::pool::ListedServer;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::util::arena::Key;
@@ -14,7 +14,7 @@
 fn servers() -> Vec<Key<Server>> {
     let mut pool = Pool::new(Default::default());
     for number in 0..SERVERS {
-        let listed = Listed {
+        let listed = ListedServer {
             id: format!("s{number}"),
             service: "hints".to_owned(),
             address: ([10, 0, 0, number as u8], 80).into(),
--- a/crates/core/tests/schedule/mod.rs
+++ b/crates/core/tests/schedule/mod.rs
@@ -167,7 +167,7 @@
 
 impl World {
     pub fn new(flaw: Flaw) -> World {
-        let budget = RetryBudget::new(retry::Config { percent: 50, most_saved: 50 });
+        let budget = RetryBudget::new(retry::Config { percent: 50, max_saved: 50 });
         let mut world = World {
             flaw,
             now: Millis(0),
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -11,7 +11,7 @@
 }
 
 fn instances(names: &[String]) -> Vec<Instance<'_>> {
-    names.iter().map(|name| Instance { name, is_near: false }).collect()
+    names.iter().map(|name| Instance { name, is_local: false }).collect()
 }
 
 fn chosen(names: &[String], gateway: usize) -> Vec<String> {
@@ -52,7 +52,7 @@
     let mixed: Vec<Instance<'_>> = names
         .iter()
         .enumerate()
-        .map(|(index, name)| Instance { name, is_near: index < 20 })
+        .map(|(index, name)| Instance { name, is_local: index < 20 })
         .collect();
     for gateway in 0..50 {
         let subset = subset::choose(&format!("gateway-{gateway}"), &mixed, 12);
--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -183,7 +183,7 @@
     if let Some(after) = bound {
         return Err(Refusal::not_run(Cause::NoBackendServer).retry_after(after));
     }
-    let busy = || gateway.with_pool(|pool| pool.busy_part(&request.service));
+    let busy = || gateway.with_pool(|pool| pool.busy_fraction(&request.service));
     let Some(asked) = request.asks_entry(busy) else { return Ok(()) };
     match gateway.entrance(&request.service).enter(asked).await {
         Ok(permit) => {
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -206,7 +206,7 @@
     let now = gateway.now();
     let address = gateway.with_pool(|pool| {
         let address = pool.server(server).listed.address;
-        (!pool.rests(server, now)).then_some(address)
+        (!pool.is_backing_off(server, now)).then_some(address)
     })?;
     if gateway.with_pool(|pool| pool.limit(server).is_some()) {
         gateway.permit(server).await?;
@@ -288,7 +288,7 @@
 ) -> Reply {
     match ask(gateway, server, order, path).await {
         Some((status, _)) if gateway.platform.is_other_server(status.as_u16()) => {
-            gateway.with_pool(|pool| pool.replace(server));
+            gateway.with_pool(|pool| pool.mark_replaced(server));
             Reply::Nothing
         }
         Some((status, _)) => gateway.platform.engine_order_reply(status.as_u16()),
--- a/crates/direct/src/entrance.rs
+++ b/crates/direct/src/entrance.rs
@@ -14,8 +14,8 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::admission;
 use hooktrestle_core::direct::admission::Admission;
-use hooktrestle_core::direct::admission::Entry;
-use hooktrestle_core::direct::admission::Owed;
+use hooktrestle_core::direct::admission::Decision;
+use hooktrestle_core::direct::admission::LatencyObjective;
 use tokio::sync::oneshot;
 
 /// Who goes first: priority, deadline, then order of arrival.
@@ -26,7 +26,7 @@
 pub struct Entrance {
     clock: ProcessClock,
     admission: RefCell<Admission>,
-    waiting: RefCell<BTreeMap<Rank, (Owed, oneshot::Sender<Permit>)>>,
+    waiting: RefCell<BTreeMap<Rank, (LatencyObjective, oneshot::Sender<Permit>)>>,
     arrivals: Cell<u64>,
 }
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Asked {
     /// What its route and service owe.
-    pub owed: Owed,
+    pub owed: LatencyObjective,
     /// 0 goes first.
     pub priority: u8,
     /// When it is given up.
@@ -64,18 +64,18 @@
     pub async fn enter(self: &Rc<Self>, asked: Asked) -> Result<Permit, Millis> {
         let now = self.clock.now();
         let left_ms = asked.first_due.since(now).0 as f64;
-        let entry = self.admission.borrow_mut().enter(asked.owed, left_ms, asked.busy, now);
+        let entry = self.admission.borrow_mut().decide(asked.owed, left_ms, asked.busy, now);
         match entry {
-            Entry::Admitted => return Ok(Permit::new(self.clone(), now)),
-            Entry::Refused(after) => return Err(after),
-            Entry::Waits => {}
+            Decision::Admitted => return Ok(Permit::new(self.clone(), now)),
+            Decision::Refused(after) => return Err(after),
+            Decision::Waits => {}
         }
         let (sender, mut receiver) = oneshot::channel();
         let number = self.arrivals.replace(self.arrivals.get() + 1);
         let rank = (asked.priority, asked.deadline, number);
         self.waiting.borrow_mut().insert(rank, (asked.owed, sender));
         let _place = Place { entrance: self, rank };
-        self.admission.borrow_mut().began_to_wait();
+        self.admission.borrow_mut().wait_began();
         let first_ms = self.admission.borrow().first_ms();
         let latest = Millis(asked.first_due.0.saturating_sub(first_ms as u64));
         tokio::select! {
@@ -122,7 +122,7 @@
 impl Drop for Place<'_> {
     fn drop(&mut self) {
         self.entrance.waiting.borrow_mut().remove(&self.rank);
-        self.entrance.admission.borrow_mut().waited();
+        self.entrance.admission.borrow_mut().wait_ended();
     }
 }
 
@@ -148,8 +148,8 @@
         let pause = self.last_event.replace(now).map(|last| now.since(last));
         let mut admission = self.entrance.admission.borrow_mut();
         match pause {
-            Some(pause) => admission.saw_pass(pause.0 as f64, now),
-            None if !self.moved => admission.saw_first(now.since(self.since).0 as f64),
+            Some(pause) => admission.record_pass(pause.0 as f64, now),
+            None if !self.moved => admission.record_first_event(now.since(self.since).0 as f64),
             None => {}
         }
         drop(admission);
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -9,7 +9,7 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::attempts::Fate;
 use hooktrestle_core::direct::overtaken;
-use hooktrestle_core::direct::pool::Ending;
+use hooktrestle_core::direct::pool::AttemptOutcome;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::util::arena::Key;
 use hooktrestle_schema::ConnectionStep;
@@ -50,7 +50,7 @@
     /// When its request is given up.
     deadline: Millis,
     /// How it ended, once that is known.
-    ending: Option<Ending>,
+    ending: Option<AttemptOutcome>,
 }
 
 impl<P: Platform> Turn<P> {
@@ -76,7 +76,7 @@
         let Turn { gateway, server, permit, .. } = self;
         let has_permit = permit.is_some_and(|permit| permit.is_good(now));
         gateway.with_pool(|pool| {
-            pool.takes(*server, now) && (pool.limit(*server).is_none() || has_permit)
+            pool.accepts(*server, now) && (pool.limit(*server).is_none() || has_permit)
         })
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Notes how it ended.
-    pub fn end(&mut self, ending: Ending) {
+    pub fn end(&mut self, ending: AttemptOutcome) {
         self.ending = Some(ending);
     }
 }
@@ -95,11 +95,12 @@
     fn drop(&mut self) {
         if self.permit.is_none() {
             // Nothing was sent; its caller may have left as permits were asked for.
-            return self.gateway.with_pool(|pool| pool.give_back(self.server, self.cost));
+            return self.gateway.with_pool(|pool| pool.undo_choice(self.server, self.cost));
         }
         let now = self.gateway.now();
         // Without an answer the caller left, which says nothing of the server, or its time was over.
-        let unanswered = if now >= self.deadline { Ending::Lost } else { Ending::Left };
+        let unanswered =
+            if now >= self.deadline { AttemptOutcome::Lost } else { AttemptOutcome::Abandoned };
         let ending = self.ending.unwrap_or(unanswered);
         self.gateway.with_pool(|pool| pool.ended(self.server, ending, now));
     }
@@ -152,7 +153,7 @@
     let asks_rest = note_asked(gateway, request, turn.server(), &head);
     note_limit(gateway, request, turn.server(), &head, sent_at);
     if !is_answer_to(request, names, &head, reused) {
-        turn.end(Ending::Lost);
+        turn.end(AttemptOutcome::Lost);
         let step = OtherAnswerStep { server_number: turn.server().number() };
         gateway.journal.request(request.id_text(), step);
         return Err(Fate::MayHaveRun);
@@ -160,9 +161,9 @@
     gateway.note_lives(turn.server(), sent_at);
     note_load(gateway, turn.server(), &head);
     if is_refusal(gateway, &head) {
-        let ending = if asks_rest { Ending::Full } else { refusal(gateway, &head) };
+        let ending = if asks_rest { AttemptOutcome::Full } else { refusal(gateway, &head) };
         turn.end(ending);
-        if ending == Ending::Stalled {
+        if ending == AttemptOutcome::Stalled {
             gateway.stalled.notify_one();
             gateway.note_out(&request.service);
         }
@@ -170,13 +171,13 @@
         return Err(Fate::NotRun);
     }
     if head.status.is_success() && !head.headers.contains_key(&names.signature) {
-        turn.end(Ending::Lost);
+        turn.end(AttemptOutcome::Lost);
         return Err(Fate::MayHaveRun);
     }
     let failed = head.status.is_server_error();
-    turn.end(if failed { Ending::Failed } else { Ending::Answered });
+    turn.end(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered });
     gateway.note_taken(&request.service);
-    gateway.with_pool(|pool| pool.took(turn.server()));
+    gateway.with_pool(|pool| pool.record_answer(turn.server()));
     let now = gateway.now();
     gateway.with_heads(&request.service, |heads| heads.began(turn.server(), sent_at, now));
     Ok(Answer { head, body, connection, turn, began: now })
@@ -190,7 +191,7 @@
     server: Key<Server>,
     sent_at: Millis,
 ) {
-    if !request.route().repeats() {
+    if !request.route().is_repeatable() {
         return future::pending().await;
     }
     loop {
@@ -237,16 +238,16 @@
 /// A request that got no head of an answer.
 struct NoAnswer {
     fate: Fate,
-    ending: Ending,
+    ending: AttemptOutcome,
 }
 
 impl NoAnswer {
     /// Nothing was sent, or the connection was lost.
     fn of_connection(unsent: bool) -> NoAnswer {
         if unsent {
-            NoAnswer { fate: Fate::NotSent, ending: Ending::Unreachable }
+            NoAnswer { fate: Fate::NotSent, ending: AttemptOutcome::Unreachable }
         } else {
-            NoAnswer { fate: Fate::MayHaveRun, ending: Ending::Lost }
+            NoAnswer { fate: Fate::MayHaveRun, ending: AttemptOutcome::Lost }
         }
     }
 }
@@ -262,7 +263,8 @@
 ) -> Result<Sent, NoAnswer> {
     let server = turn.server();
     loop {
-        let kept = if request.route().repeats() { gateway.connections.idle(server) } else { None };
+        let kept =
+            if request.route().is_repeatable() { gateway.connections.idle(server) } else { None };
         let fresh = kept.is_none();
         let mut connection = match kept {
             Some(connection) => connection,
@@ -271,7 +273,7 @@
         let now = gateway.now();
         if now >= request.deadline || !turn.may_send(now) {
             gateway.connections.keep(connection);
-            return Err(NoAnswer { fate: Fate::NotSent, ending: Ending::Left });
+            return Err(NoAnswer { fate: Fate::NotSent, ending: AttemptOutcome::Abandoned });
         }
         let reused = connection.used();
         let message = message(gateway, request, server, after_event);
@@ -282,7 +284,7 @@
             () = overtaken(gateway, request, server, sent_at) => {
                 gateway.metrics.overtaken.inc();
                 gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
-                return Err(NoAnswer { fate: Fate::MayHaveRun, ending: Ending::Overtaken });
+                return Err(NoAnswer { fate: Fate::MayHaveRun, ending: AttemptOutcome::Overtaken });
             }
         };
         match answered {
@@ -353,7 +355,7 @@
     let mut counts = text.split(',').filter_map(|count| count.trim().parse::<u32>().ok());
     if let (Some(running), Some(queued)) = (counts.next(), counts.next()) {
         let now = gateway.now();
-        gateway.with_pool(|pool| pool.report(server, running, queued, now));
+        gateway.with_pool(|pool| pool.record_load(server, running, queued, now));
     }
 }
 
@@ -386,14 +388,18 @@
 }
 
 /// How a refusal ends the server's part.
-fn refusal<P: Platform>(gateway: &Gateway<P>, head: &Parts) -> Ending {
+fn refusal<P: Platform>(gateway: &Gateway<P>, head: &Parts) -> AttemptOutcome {
     if gateway.platform.is_other_server(head.status.as_u16()) {
-        return Ending::Replaced;
+        return AttemptOutcome::Replaced;
     }
     // A server that is full tells its load; one whose group stands still has room, and refuses.
     let load = headers::text(&head.headers, &gateway.platform.headers().load);
     let waiting = load.and_then(|text| text.split(',').nth(1)?.trim().parse::<u32>().ok());
-    if waiting.is_some_and(|waiting| waiting > 0) { Ending::Full } else { Ending::Stalled }
+    if waiting.is_some_and(|waiting| waiting > 0) {
+        AttemptOutcome::Full
+    } else {
+        AttemptOutcome::Stalled
+    }
 }
 
 /// Reads a refusal to its end, so that its connection can be kept.
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -7,7 +7,7 @@
 use hooktrestle_core::direct::attempts::Attempts;
 use hooktrestle_core::direct::attempts::Fate;
 use hooktrestle_core::direct::attempts::Next;
-use hooktrestle_core::direct::pool::Ending;
+use hooktrestle_core::direct::pool::AttemptOutcome;
 use hooktrestle_core::verdict::Refusal;
 use hooktrestle_schema::AttemptStep;
 use hooktrestle_schema::Cause;
@@ -46,7 +46,7 @@
 pub async fn forward<P: Platform>(gateway: &Rc<Gateway<P>>, request: &Request<P>) -> Reply<P> {
     gateway.count_request(&request.service);
     let route = request.route();
-    let mut attempts = Attempts::new(route.most_attempts, route.repeats());
+    let mut attempts = Attempts::new(route.max_attempts, route.is_repeatable());
     let trying = try_servers(gateway, request, &mut attempts);
     let tried = gateway.clock.timeout_at(request.deadline, trying).await;
     match tried {
@@ -76,7 +76,7 @@
             return Tried::Refused(attempts.refuse(Cause::DeadlinePassed));
         }
         if let Some((cause, left)) = gateway.turns_away(request.fingerprint) {
-            return Tried::Refused(attempts.refuse_for(cause, left));
+            return Tried::Refused(attempts.refuse_with_retry_after(cause, left));
         }
         let Some(turn) = next_turn(gateway, request, attempts).await else {
             // A rest that servers ask for, and a limit, is no outage: its end is known.
@@ -98,12 +98,12 @@
             }
             Outcome::Unanswered(fate) => fate,
         };
-        let next = attempts.after(server, fate, || gateway.take_repeat(&request.service));
+        let next = attempts.after_failure(server, fate, || gateway.take_repeat(&request.service));
         let (server_number, sent_number) = (server.number(), attempts.sent());
         let step = AttemptStep { server_number, sent_number, fate, next: next.step() };
         gateway.journal.request(request.id_text(), step);
         match (next, failure.take()) {
-            (Next::Again, kept) => failure = kept,
+            (Next::Retry, kept) => failure = kept,
             (_, Some((head, body))) => return Tried::Whole(head, body),
             (Next::GiveUp(refusal), None) => return refused(gateway, request, refusal),
             (Next::PassOn, None) => {
@@ -195,7 +195,7 @@
             Some((head, collected.to_bytes()))
         }
         Err(_) => {
-            turn.end(Ending::Lost);
+            turn.end(AttemptOutcome::Lost);
             let progress = Progress::Running(began);
             gateway.note_broken(turn.server(), request.fingerprint, progress).await;
             None
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -23,7 +23,7 @@
 use hooktrestle_core::clock::Clock;
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::budget;
-use hooktrestle_core::direct::budget::RepeatBudget;
+use hooktrestle_core::direct::budget::RetryBudget;
 use hooktrestle_core::direct::crashes::Config as CrashConfig;
 use hooktrestle_core::direct::crashes::Crashes;
 use hooktrestle_core::direct::crashes::Reporter;
@@ -42,10 +42,10 @@
 use hooktrestle_core::direct::relays::Relays;
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::serving::RouteKind;
-use hooktrestle_core::direct::serving::Serving;
+use hooktrestle_core::direct::serving::ServingConfig;
 use hooktrestle_core::direct::slow::Findings;
 use hooktrestle_core::direct::unconfirmed::Unconfirmed;
-use hooktrestle_core::standstill::Standstill;
+use hooktrestle_core::suspension::SuspensionDetector;
 use hooktrestle_core::util::arena::Key;
 use rand::RngExt;
 use tokio::sync::Notify;
@@ -96,7 +96,7 @@
     pub platform: P,
     /// Time.
     pub clock: ProcessClock,
-    standstill: Cell<Standstill>,
+    suspension: Cell<SuspensionDetector>,
     /// Log lines.
     pub journal: Journal,
     /// Counters and histograms.
@@ -127,7 +127,7 @@
     pub permits_told: Notify,
     /// Wakes whoever hands the own part over: a server has named a limit.
     pub limits_known: Notify,
-    serving: RefCell<Rc<Serving>>,
+    serving: RefCell<Rc<ServingConfig>>,
     /// The table that the configuration in force came from, where the store has an older copy of it.
     kept: RefCell<Option<Replica>>,
     /// Whether another gateway has told what it knows, as far as there are any.
@@ -143,7 +143,7 @@
     eras: watch::Sender<Option<u64>>,
     /// When another era was told last.
     era_began_at: Cell<Option<Millis>>,
-    budgets: ByService<RepeatBudget>,
+    budgets: ByService<RetryBudget>,
     outages: ByService<Outages>,
     entrances: ByService<Rc<Entrance>>,
     heads: ByService<Heads>,
@@ -174,7 +174,7 @@
         Gateway {
             platform,
             clock,
-            standstill: Cell::default(),
+            suspension: Cell::default(),
             journal: Journal::default(),
             metrics: Metrics::default(),
             connections: Connections::new(clock),
@@ -221,30 +221,30 @@
     /// The present moment.
     pub fn now(&self) -> Millis {
         let now = self.clock.now();
-        let mut standstill = self.standstill.get();
-        standstill.read(now);
-        self.standstill.set(standstill);
+        let mut suspension = self.suspension.get();
+        suspension.observe_clock(now);
+        self.suspension.set(suspension);
         now
     }
 
     /// How long this process stood still, if that ended less than `within` ago.
     pub fn stood_still(&self, within: Millis) -> Option<Millis> {
         let now = self.now();
-        self.standstill.get().ended_within(within, now)
+        self.suspension.get().ended_within(within, now)
     }
 
     /// How many gateways share what is bounded for all of them. After a standstill nobody has been heard of
     /// lately; then all that are known do.
     fn sharing(&self, now: Millis) -> usize {
         let members = self.members.borrow();
-        if self.standstill.get().ended_within(HEAR_AGAIN, now).is_some() {
+        if self.suspension.get().ended_within(HEAR_AGAIN, now).is_some() {
             return members.known().count();
         }
         members.living(now)
     }
 
     /// The configuration in force.
-    pub fn serving(&self) -> Rc<Serving> {
+    pub fn serving(&self) -> Rc<ServingConfig> {
         self.serving.borrow().clone()
     }
 
@@ -368,7 +368,7 @@
     /// Counts a request for a service.
     pub fn count_request(&self, service: &str) {
         let now = self.now();
-        self.with_budget(service, |budget| budget.request(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one repeat at a service from this gateway's part of the budget.
@@ -386,7 +386,7 @@
     pub fn covers_repeat(&self, service: &str) -> bool {
         let now = self.now();
         let gateways = self.sharing(now);
-        self.with_budget(service, |budget| budget.covers(now, gateways))
+        self.with_budget(service, |budget| budget.has_retry(now, gateways))
     }
 
     /// No server of a service could take a request.
@@ -426,8 +426,8 @@
         self.budgets.for_each(|budget| budget.set_config(config));
     }
 
-    fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut RepeatBudget) -> T) -> T {
-        self.budgets.with(service, || RepeatBudget::new(self.budget.get()), act)
+    fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
+        self.budgets.with(service, || RetryBudget::new(self.budget.get()), act)
     }
 
     fn with_outages<T>(&self, service: &str, act: impl FnOnce(&mut Outages) -> T) -> T {
--- a/crates/direct/src/gateway/asked.rs
+++ b/crates/direct/src/gateway/asked.rs
@@ -28,9 +28,9 @@
         let now = self.now();
         self.metrics.rests_asked.inc();
         let all_bound = self.with_pool(|pool| {
-            pool.rest(server, span, now);
+            pool.back_off(server, span, now);
             let service = pool.server(server).listed.service.clone();
-            pool.all_bound_until(&service, now).map(|_| service)
+            pool.all_unavailable_until(&service, now).map(|_| service)
         });
         if let Some(service) = all_bound {
             // Whoever waits there is told at once.
@@ -47,7 +47,7 @@
         if told.map(str::trim) != Some("1") || is_other {
             return;
         }
-        if self.with_pool(|pool| pool.leave(server)) {
+        if self.with_pool(|pool| pool.mark_leaving(server)) {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
             self.journal.state(format_args!("server {id} says that it leaves"));
         }
@@ -58,7 +58,7 @@
     /// moment.
     pub fn all_bound(&self, service: &str) -> Option<Millis> {
         let now = self.now();
-        let until = self.with_pool(|pool| pool.all_bound_until(service, now))?;
+        let until = self.with_pool(|pool| pool.all_unavailable_until(service, now))?;
         Some(outage::spread(until.since(now), rand::rng().random()))
     }
 }
--- a/crates/direct/src/gateway/configurations.rs
+++ b/crates/direct/src/gateway/configurations.rs
@@ -9,7 +9,7 @@
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
-use hooktrestle_core::direct::serving::Serving;
+use hooktrestle_core::direct::serving::ServingConfig;
 
 use crate::gateway::Gateway;
 use crate::gateway::findings::Reach;
@@ -37,7 +37,7 @@
         }
     }
 
-    fn bring_into_force(&self, serving: Serving, source: &str) {
+    fn bring_into_force(&self, serving: ServingConfig, source: &str) {
         let version = serving.version;
         self.serving.replace(Rc::new(serving));
         self.journal.state(format_args!("configuration {version} in force, from {source}"));
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -58,7 +58,7 @@
             None => return None,
         };
         let said = Said { limit, earliest: sent_at, latest: self.now() };
-        let heard = self.with_pool(|pool| pool.hear_limit(server, said));
+        let heard = self.with_pool(|pool| pool.merge_limit(server, said));
         self.act_on_limit(heard);
         if heard != Heard::Known {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
@@ -70,7 +70,7 @@
     /// Takes what another gateway tells of limits.
     pub fn take_limits(&self, told: &[(ServerLife, Said)]) {
         let heard = self.with_pool(|pool| {
-            told.iter().map(|(server, said)| pool.hear_limit_of(*server, *said)).max()
+            told.iter().map(|(server, said)| pool.merge_limit_of(*server, *said)).max()
         });
         self.act_on_limit(heard.unwrap_or(Heard::Known));
     }
@@ -90,13 +90,13 @@
         let now = self.now();
         let taken = self.with_pool(|pool| pool.take_permit(server, now));
         let Permission::Ask(wanted) = taken else { return self.permitted(taken) };
-        let (life, returning) =
-            self.with_pool(|pool| (pool.life(server), pool.returning(server, now)));
-        let wanted = Wanted::Requests(life, wanted, returning);
+        let (life, ramp_up_rate) =
+            self.with_pool(|pool| (pool.incarnation(server), pool.ramp_up_rate(server, now)));
+        let wanted = Wanted::Requests(life, wanted, ramp_up_rate);
         let given = permits::ask(self, wanted).await.unwrap_or_default();
         let told_at = self.now();
         let taken = self.with_pool(|pool| {
-            pool.permits_given(server, given, now, told_at);
+            pool.record_grant(server, given, now, told_at);
             if given.permits == 0 { Permission::None } else { pool.take_permit(server, told_at) }
         });
         self.permits_told.notify_waiters();
--- a/crates/direct/src/peers/news.rs
+++ b/crates/direct/src/peers/news.rs
@@ -192,7 +192,7 @@
         Some(table_news(&known.table, update))
     });
     let now = gateway.now();
-    let limits = gateway.with_pool(|pool| pool.limits_said(now));
+    let limits = gateway.with_pool(|pool| pool.advertised_limits(now));
     PeerNews {
         known: [Table::Configuration, Table::Servers]
             .map(|table| {
@@ -246,7 +246,7 @@
 /// What a server said of its limit, as it is told.
 pub(crate) fn limits_of<P: Platform>(gateway: &Gateway<P>, server: ServerLife) -> Vec<[u64; 4]> {
     let now = gateway.now();
-    let said = gateway.with_pool(|pool| pool.limit_said(server));
+    let said = gateway.with_pool(|pool| pool.advertised_limit(server));
     said.iter().map(|said| limit_news(server, said, now)).collect()
 }
 
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -193,7 +193,7 @@
     // After a rest somebody has to find out whether the server takes requests.
     let first = if returning.is_some() { 1.0 } else { 0.0 };
     let limit = asked.server_number.map(ServerLife).and_then(|server| {
-        let said = gateway.with_pool(|pool| pool.limit_said(server));
+        let said = gateway.with_pool(|pool| pool.advertised_limit(server));
         (said.is_some() || returning.is_some()).then(|| {
             let named = said.and_then(|said| said.limit);
             (server, named.into_iter().chain(returning).min())
--- a/crates/direct/src/platform.rs
+++ b/crates/direct/src/platform.rs
@@ -12,12 +12,12 @@
 use hooktrestle_core::direct::map_orders::Guarded;
 use hooktrestle_core::direct::map_orders::RankReport;
 use hooktrestle_core::direct::map_orders::Reply;
-use hooktrestle_core::direct::pool::Listed;
+use hooktrestle_core::direct::pool::ListedServer;
 use hooktrestle_core::direct::readings::Counts;
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
-use hooktrestle_core::direct::serving::Serving;
+use hooktrestle_core::direct::serving::ServingConfig;
 use http::HeaderName;
 use http::HeaderValue;
 use http::Method;
@@ -259,14 +259,14 @@
     /// # Errors
     ///
     /// It cannot be understood; the one in force stays.
-    fn serving(&self, replica: &Replica) -> Result<Option<Serving>, Malformed>;
+    fn serving(&self, replica: &Replica) -> Result<Option<ServingConfig>, Malformed>;
 
     /// A row of [`Table::Servers`].
     ///
     /// # Errors
     ///
     /// It cannot be understood; the row is passed over.
-    fn listed(&self, id: &str, value: &str) -> Result<Listed, Malformed>;
+    fn listed(&self, id: &str, value: &str) -> Result<ListedServer, Malformed>;
 
     /// Whether an answer of this status promises that the server it came from is not the one that
     /// was expected.
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -15,8 +15,8 @@
 use hooktrestle_core::direct::attempts::Attempts;
 use hooktrestle_core::direct::attempts::Fate;
 use hooktrestle_core::direct::attempts::Next;
-use hooktrestle_core::direct::events::Events;
-use hooktrestle_core::direct::pool::Ending;
+use hooktrestle_core::direct::events::EventBuffer;
+use hooktrestle_core::direct::pool::AttemptOutcome;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::util::arena::Key;
 use hooktrestle_schema::LeaveReason;
@@ -58,7 +58,7 @@
     request: Request<P>,
     attempts: Attempts,
     source: Option<Answer<P>>,
-    events: Events,
+    events: EventBuffer,
     /// Whether the source has given more than the head of its answer.
     is_running: bool,
     /// Whether the stream may be taken up elsewhere.
@@ -80,7 +80,7 @@
         request,
         attempts,
         source: Some(answer),
-        events: Events::default(),
+        events: EventBuffer::default(),
         is_running: false,
         resumable,
     };
@@ -188,12 +188,13 @@
 fn leaves_slow_server<P: Platform>(relay: &Relay<P>) -> bool {
     let Relay { gateway, request, attempts, source, resumable, .. } = relay;
     let Some(source) = source else { return false };
-    if !*resumable || !attempts.has_another() {
+    if !*resumable || !attempts.allows_another() {
         return false;
     }
     let (now, server) = (gateway.now(), source.turn.server());
     let is_better_elsewhere = gateway.with_pool(|pool| {
-        pool.is_slow(server, now) && pool.has_other(&request.service, server, attempts.tried(), now)
+        pool.is_slow(server, now)
+            && pool.has_alternative(&request.service, server, attempts.tried(), now)
     });
     is_better_elsewhere && gateway.covers_repeat(&request.service)
 }
@@ -202,10 +203,10 @@
 fn leave<P: Platform>(relay: &mut Relay<P>, reason: LeaveReason) -> Option<Key<Server>> {
     let mut left = relay.source.take()?;
     left.turn.end(match reason {
-        LeaveReason::BrokenOff => Ending::Lost,
-        LeaveReason::Slow => Ending::Left,
+        LeaveReason::BrokenOff => AttemptOutcome::Lost,
+        LeaveReason::Slow => AttemptOutcome::Abandoned,
     });
-    relay.events.broke_off();
+    relay.events.discard_partial();
     if let Some(permit) = &mut relay.request.permit {
         permit.moved();
     }
@@ -248,7 +249,7 @@
     let Relay { gateway, request, attempts, events, resumable, .. } = relay;
     let may_go_on = *resumable && gateway.turns_away(request.fingerprint).is_none();
     let covered = || may_go_on && gateway.take_repeat(&request.service);
-    let next = attempts.after(server, fate, covered);
+    let next = attempts.after_failure(server, fate, covered);
     let step = LeaveStep {
         fingerprint_number: request.fingerprint.0,
         server_number: server.number(),
@@ -257,5 +258,5 @@
         next: next.step(),
     };
     gateway.journal.request(request.id_text(), step);
-    next == Next::Again
+    next == Next::Retry
 }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -4,15 +4,15 @@
 
 use bytes::Bytes;
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::admission::Owed;
-use hooktrestle_core::direct::attempts::COME_BACK_NONE;
+use hooktrestle_core::direct::admission::LatencyObjective;
+use hooktrestle_core::direct::attempts::RETRY_AFTER_NO_SERVER;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
 use hooktrestle_core::direct::serving::AccountKey;
 use hooktrestle_core::direct::serving::Denial;
 use hooktrestle_core::direct::serving::Route;
 use hooktrestle_core::direct::serving::RouteKey;
 use hooktrestle_core::direct::serving::RouteKind;
-use hooktrestle_core::direct::serving::Serving;
+use hooktrestle_core::direct::serving::ServingConfig;
 use hooktrestle_core::verdict::Refusal;
 use hooktrestle_schema::Cause;
 use http::HeaderMap;
@@ -63,7 +63,7 @@
 /// A request, kept for as many attempts as it takes.
 pub struct Request<P: Platform> {
     /// The configuration that it began under.
-    pub serving: Rc<Serving>,
+    pub serving: Rc<ServingConfig>,
     route: RouteKey,
     /// Its service.
     pub service: String,
@@ -109,9 +109,9 @@
     pub fn asks_entry(&self, busy: impl FnOnce() -> f64) -> Option<Asked> {
         let route = self.route();
         let pause = route.pause_ms.filter(|_| self.is_stream())?;
-        let least_pass_ms = self.serving.services.get(&self.service)?.least_pass_ms;
+        let min_pass_ms = self.serving.services.get(&self.service)?.min_pass_ms;
         Some(Asked {
-            owed: Owed { pause_ms: pause.0 as f64, least_pass_ms },
+            owed: LatencyObjective { pause_ms: pause.0 as f64, min_pass_ms },
             priority: self.priority,
             deadline: self.deadline,
             first_due: self.came + route.objective_ms,
@@ -139,7 +139,7 @@
     let serving = gateway.serving();
     if serving.version == 0 {
         let refusal = Refusal::not_run(Cause::NotReady);
-        let left = COME_BACK_UNREADY.since(came).max(COME_BACK_NONE);
+        let left = COME_BACK_UNREADY.since(came).max(RETRY_AFTER_NO_SERVER);
         return Err(Unread::Refused(refusal.retry_after(left)));
     }
     let (route, account) = admit(&serving, &parts)?;
@@ -177,7 +177,7 @@
     })
 }
 
-fn admit(serving: &Serving, parts: &Parts) -> Result<(RouteKey, Option<AccountKey>), Unread> {
+fn admit(serving: &ServingConfig, parts: &Parts) -> Result<(RouteKey, Option<AccountKey>), Unread> {
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     let shown = parts.headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
@@ -205,7 +205,7 @@
 fn onward_headers(
     mut headers: HeaderMap,
     names: &HeaderNames,
-    serving: &Serving,
+    serving: &ServingConfig,
     account: Option<AccountKey>,
     priority: u8,
 ) -> HeaderMap {
@@ -225,7 +225,7 @@
 }
 
 /// The account's priority, or the route's.
-fn priority(serving: &Serving, route: RouteKey, account: Option<AccountKey>) -> u8 {
+fn priority(serving: &ServingConfig, route: RouteKey, account: Option<AccountKey>) -> u8 {
     let own = account.and_then(|account| serving.account(account).priority);
     own.unwrap_or(serving.route(route).priority).min(LOWEST_PRIORITY)
 }
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -117,7 +117,7 @@
     let asked = gateway.clone();
     let is_closed = move |address| {
         let now = asked.now();
-        asked.with_pool(|pool| pool.is_closed_to_orders_at(address, now))
+        asked.with_pool(|pool| pool.accepts_only_local_orders_at(address, now))
     };
     let engines = Rc::new(Engines::new(None, |_| None, is_closed));
     let note = |error: &io::Error| {
--- a/crates/direct/src/standing.rs
+++ b/crates/direct/src/standing.rs
@@ -45,7 +45,7 @@
         // What is not known is tried, and rests if it refuses.
         let stands = report.is_some_and(|report| !report.state.open);
         standing += usize::from(stands);
-        changed += usize::from(gateway.with_pool(|pool| pool.set_standing(key, stands)));
+        changed += usize::from(gateway.with_pool(|pool| pool.set_stalled(key, stands)));
     }
     if changed > 0 {
         gateway.journal.state(format_args!("{standing} servers are in groups that stand still"));
--- a/crates/direct/tests/entrance.rs
+++ b/crates/direct/tests/entrance.rs
@@ -7,7 +7,7 @@
 use hooktrestle_clock::ProcessClock;
 use hooktrestle_core::clock::Clock;
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::admission::Owed;
+use hooktrestle_core::direct::admission::LatencyObjective;
 use hooktrestle_direct::entrance::Asked;
 use hooktrestle_direct::entrance::Entrance;
 use hooktrestle_direct::entrance::Permit;
@@ -17,7 +17,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-const OWED: Owed = Owed { pause_ms: 120.0, least_pass_ms: 18.0 };
+const OWED: LatencyObjective = LatencyObjective { pause_ms: 120.0, min_pass_ms: 18.0 };
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
--- a/crates/embedded/tests/subsets.rs
+++ b/crates/embedded/tests/subsets.rs
@@ -12,8 +12,8 @@
 
 fn is_given(gateways: &[String]) -> bool {
     let instances: Vec<subset::Instance<'_>> =
-        gateways.iter().map(|name| subset::Instance { name, is_near: false }).collect();
-    let chosen = subset::choose("hints", &instances, subset::GATEWAYS_FOR_SERVICE);
+        gateways.iter().map(|name| subset::Instance { name, is_local: false }).collect();
+    let chosen = subset::choose("hints", &instances, subset::GATEWAYS_PER_SERVICE);
     chosen.into_iter().any(|index| gateways[index] == "entry-1")
 }
 
@@ -34,7 +34,7 @@
     let ahead: Vec<String> = (0..)
         .map(|number| format!("other-{number}"))
         .filter(|name| !is_ahead(name))
-        .take(subset::GATEWAYS_FOR_SERVICE)
+        .take(subset::GATEWAYS_PER_SERVICE)
         .collect();
     let behind = (0..).map(|number| format!("late-{number}")).find(|name| is_ahead(name)).unwrap();
     let all: Vec<String> = ahead.iter().cloned().chain([own()]).collect();
@@ -62,6 +62,6 @@
 fn is_ahead(name: &str) -> bool {
     let pair = ["entry-1".to_owned(), name.to_owned()];
     let instances: Vec<subset::Instance<'_>> =
-        pair.iter().map(|name| subset::Instance { name, is_near: false }).collect();
+        pair.iter().map(|name| subset::Instance { name, is_local: false }).collect();
     subset::choose("hints", &instances, 1) == [0]
 }
--- a/crates/hooktrestled/src/gateway/drive.rs
+++ b/crates/hooktrestled/src/gateway/drive.rs
@@ -141,7 +141,7 @@
     /// Admits a request within its account's limits.
     fn admit(shared: &Shared, incoming: &Incoming) -> Result<OpenGuard, Refusal> {
         let live = directory::gateways(&shared.directory.borrow());
-        let gateways = live.min(subset::GATEWAYS_FOR_SERVICE);
+        let gateways = live.min(subset::GATEWAYS_PER_SERVICE);
         let account = hash::of(&incoming.account);
         let (now, cost) = (shared.clock.now(), incoming.cost_tokens);
         let mut limiter = shared.limiter.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/hooktrestled/src/gateway/endpoints.rs
+++ b/crates/hooktrestled/src/gateway/endpoints.rs
@@ -25,9 +25,9 @@
         .collect();
     let candidates: Vec<subset::Instance<'_>> = live
         .iter()
-        .map(|instance| subset::Instance { name: &instance.name, is_near: false })
+        .map(|instance| subset::Instance { name: &instance.name, is_local: false })
         .collect();
-    let chosen = subset::choose(service, &candidates, subset::GATEWAYS_FOR_SERVICE);
+    let chosen = subset::choose(service, &candidates, subset::GATEWAYS_PER_SERVICE);
     chosen.into_iter().map(|index| live[index]).collect()
 }
 
--- a/crates/hooktrestled/src/gateway/router.rs
+++ b/crates/hooktrestled/src/gateway/router.rs
@@ -194,12 +194,12 @@
             .iter()
             .map(|key| {
                 let record = &config.servers[*key];
-                let is_near = config.data_centres[record.data_centre].name == *own_centre;
-                subset::Instance { name: &record.name, is_near }
+                let is_local = config.data_centres[record.data_centre].name == *own_centre;
+                subset::Instance { name: &record.name, is_local }
             })
             .collect();
         let subject = &self.context.identity.instance;
-        let chosen = subset::choose(subject, &instances, subset::SERVERS_FOR_GATEWAY);
+        let chosen = subset::choose(subject, &instances, subset::SERVERS_PER_GATEWAY);
         for index in chosen {
             let key = members[index];
             let record = &config.servers[key];
