--- a/crates/core/src/direct/outage.rs
+++ b/crates/core/src/direct/outage.rs
@@ -5,8 +5,8 @@
 //! the earlier ones did, and at first as long as a group stands and forms anew.
 
 use crate::clock::Millis;
-use crate::direct::attempts::COME_BACK_MOST;
-use crate::direct::attempts::COME_BACK_NONE;
+use crate::direct::attempts::MAX_RETRY_AFTER;
+use crate::direct::attempts::RETRY_AFTER_NO_SERVER;
 
 /// Part of the time to come back over which callers are spread.
 const JITTER_FRACTION: f64 = 0.25;
@@ -31,8 +31,8 @@
     fn default() -> Self {
         Config {
             initial_estimate: Millis(2_100),
-            min_retry_after: COME_BACK_NONE,
-            max_retry_after: COME_BACK_MOST,
+            min_retry_after: RETRY_AFTER_NO_SERVER,
+            max_retry_after: MAX_RETRY_AFTER,
             min_duration: Millis(300),
             newest_weight: 0.3,
         }
