--- a/crates/core/src/direct.rs
+++ b/crates/core/src/direct.rs
@@ -8,14 +8,14 @@
 //! - [`unconfirmed`]: rows that the platform's store has lost, until they are written again.
 //! - [`members`]: which gateways there are.
 //! - [`pool`]: which backend server gets a request.
-//! - [`asked`]: what a backend server asks of this gateway: a rest, or nothing more.
-//! - [`named_limit`], [`permits`]: how many requests a backend server takes from all gateways together.
+//! - [`server_notices`]: what a backend server asks of this gateway: a rest, or nothing more.
+//! - [`advertised_limit`], [`permits`]: how many requests a backend server takes from all gateways together.
 //! - [`slow`]: which backend servers are slow, as one gateway finds and all tell each other.
 //! - [`admission`]: how many streams a service bears, by how long its passes take.
 //! - [`attempts`]: what follows an attempt: answer, another attempt, or a refusal.
 //! - [`fingerprint`]: tells a request that comes again.
 //! - [`overtaken`]: requests at a server that says nothing while later ones are answered elsewhere.
-//! - [`broken_off`]: answers that broke off, and what was at a server as it crashed.
+//! - [`truncated_answers`]: answers that broke off, and what was at a server as it crashed.
 //! - [`crashes`]: requests that crash the servers that run them, by what all gateways saw.
 //! - [`outage`]: when callers come back while no server can take a request.
 //! - [`budget`]: how many repeats failures may cost, over a sliding window.
@@ -29,9 +29,8 @@
 //! - [`events`]: a stream of events, cut between events only.
 
 pub mod admission;
-pub mod asked;
+pub mod advertised_limit;
 pub mod attempts;
-pub mod broken_off;
 pub mod budget;
 pub mod crashes;
 pub mod events;
@@ -43,7 +42,6 @@
 pub mod holders;
 pub mod map_orders;
 pub mod members;
-pub mod named_limit;
 pub mod outage;
 pub mod overtaken;
 pub mod passes;
@@ -52,6 +50,8 @@
 pub mod readings;
 pub mod relays;
 pub mod replica;
+pub mod server_notices;
 pub mod serving;
 pub mod slow;
+pub mod truncated_answers;
 pub mod unconfirmed;
--- a/crates/core/src/direct/named_limit.rs
+++ b/crates/core/src/direct/advertised_limit.rs
@@ -16,7 +16,7 @@
 const LEAST: Rate = Rate { in_1000_s: 100 };
 
 /// How long a permit is good, from when it was asked for: a request may have to wait for a connection.
-pub const GOOD_FOR: Millis = Millis(500);
+pub const PERMIT_VALIDITY: Millis = Millis(500);
 
 /// Longest wait for an answer to one who asks for permits.
 pub const ASK_TIMEOUT: Millis = Millis(100);
@@ -34,7 +34,7 @@
 const LATELY_MS: f64 = 1_000.0;
 
 /// What news may have taken on their way from another gateway, beyond the ages they tell.
-pub const ON_THE_WAY: Millis = Millis(500);
+pub const TRANSIT_ALLOWANCE: Millis = Millis(500);
 
 /// Requests over time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -45,7 +45,7 @@
 
 impl Rate {
     /// What a server named, in requests a second, a decimal; `None` if the text is no number.
-    pub fn named(text: &str) -> Option<Rate> {
+    pub fn from_text(text: &str) -> Option<Rate> {
         let text = text.trim();
         // Words that stand for numbers, and signs, are none.
         if !text.starts_with(|first: char| first.is_ascii_digit() || first == '.') {
@@ -63,7 +63,7 @@
 
 /// What a server said of its limit, and when.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Said {
+pub struct LimitAdvertisement {
     /// `None`: it names none any more.
     pub limit: Option<Rate>,
     /// It said so at this moment at the earliest.
@@ -72,8 +72,8 @@
     pub latest: Millis,
 }
 
-impl Said {
-    fn is_looser_than(&self, known: &Said) -> bool {
+impl LimitAdvertisement {
+    fn is_looser_than(&self, known: &LimitAdvertisement) -> bool {
         match (self.limit, known.limit) {
             (_, None) => false,
             (None, Some(_)) => true,
@@ -82,7 +82,7 @@
     }
 
     /// Whether this binds in place of what is known.
-    fn overrules(&self, known: &Said) -> bool {
+    fn overrules(&self, known: &LimitAdvertisement) -> bool {
         if self.is_looser_than(known) {
             self.earliest >= known.latest
         } else {
@@ -93,9 +93,9 @@
 
 /// What came of word about a limit.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Heard {
+pub enum LimitMergeOutcome {
     /// It was known.
-    Known,
+    Unchanged,
     /// The limit is another one, or gone.
     Changed,
     /// Much less is taken than was known: others should not have to find out.
@@ -117,8 +117,8 @@
 
 /// One server's limit as this gateway knows it, and the permits that it has for it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Limited {
-    said: Option<Said>,
+pub struct AdvertisedLimit {
+    advertisement: Option<LimitAdvertisement>,
     in_hand: u32,
     good_until: Millis,
     /// Until when an answer to one who asked is waited for.
@@ -132,20 +132,24 @@
     lately_at: Millis,
 }
 
-impl Limited {
+impl AdvertisedLimit {
     /// Takes what the server said.
-    pub fn hear(&mut self, said: Said) -> Heard {
-        let Some(known) = &mut self.said else {
-            self.said = Some(said);
-            return if said.limit.is_some() { Heard::Urgent } else { Heard::Known };
+    pub fn apply(&mut self, said: LimitAdvertisement) -> LimitMergeOutcome {
+        let Some(known) = &mut self.advertisement else {
+            self.advertisement = Some(said);
+            return if said.limit.is_some() {
+                LimitMergeOutcome::Urgent
+            } else {
+                LimitMergeOutcome::Unchanged
+            };
         };
         if known.limit == said.limit {
             known.earliest = known.earliest.max(said.earliest);
             known.latest = known.latest.max(said.latest);
-            return Heard::Known;
+            return LimitMergeOutcome::Unchanged;
         }
         if !said.overrules(known) {
-            return Heard::Known;
+            return LimitMergeOutcome::Unchanged;
         }
         let is_halved = match (said.limit, known.limit) {
             (Some(limit), Some(known)) => limit.in_1000_s <= known.in_1000_s / 2,
@@ -156,21 +160,21 @@
             self.in_hand = 0;
         }
         *known = said;
-        if is_halved { Heard::Urgent } else { Heard::Changed }
+        if is_halved { LimitMergeOutcome::Urgent } else { LimitMergeOutcome::Changed }
     }
 
     /// What the server said last.
-    pub fn said(&self) -> Option<Said> {
-        self.said
+    pub fn advertisement(&self) -> Option<LimitAdvertisement> {
+        self.advertisement
     }
 
     /// The limit, if it names one.
     pub fn limit(&self) -> Option<Rate> {
-        self.said?.limit
+        self.advertisement?.limit
     }
 
     /// When there is a permit, if none can be asked for now; `None` where the server names no limit.
-    pub fn bound_until(&self, now: Millis) -> Option<Millis> {
+    pub fn blocked_until(&self, now: Millis) -> Option<Millis> {
         let is_bound = self.limit().is_some() && !self.has_permit(now) && self.ask_from > now;
         is_bound.then(|| self.expected_at.max(self.ask_from))
     }
@@ -182,7 +186,7 @@
 
     /// When one who finds it closed may find it open at the earliest: an answer that is waited for may come at any
     /// moment.
-    pub fn next_at(&self) -> Millis {
+    pub fn may_open_at(&self) -> Millis {
         self.ask_from
     }
 
@@ -210,16 +214,16 @@
     }
 
     /// Takes the answer to what was asked at `asked_at`.
-    pub fn given(&mut self, permits: u32, again_in: Millis, asked_at: Millis, now: Millis) {
+    pub fn apply_grant(&mut self, permits: u32, retry_in: Millis, asked_at: Millis, now: Millis) {
         self.asked_until = Millis::ZERO;
         if permits == 0 {
             let (least, most) = ASK_AGAIN;
-            self.ask_from = now + again_in.clamp(least, most);
-            self.expected_at = now + again_in.min(MOST_TOLD);
+            self.ask_from = now + retry_in.clamp(least, most);
+            self.expected_at = now + retry_in.min(MOST_TOLD);
             return;
         }
         self.in_hand = permits;
-        self.good_until = asked_at + GOOD_FOR;
+        self.good_until = asked_at + PERMIT_VALIDITY;
     }
 
     fn lately_by(&self, now: Millis) -> f64 {
--- a/crates/core/src/direct/crashes.rs
+++ b/crates/core/src/direct/crashes.rs
@@ -30,51 +30,51 @@
 pub struct Config {
     /// Crashes from which a request is refused. Two may be chance: a stream that is taken up after a crash may meet
     /// the next one. The users' rule counts from the third.
-    pub crashes: usize,
+    pub min_crashes: usize,
     /// The same of crashes at which it was just beginning: servers begin to run a request for a tenth of its time.
-    pub at_start: usize,
+    pub min_crashes_at_start: usize,
     /// How long a request is held back after a crash at which it was just beginning. A server of the users is back
     /// within 3.3 s, and its group opens 0.6 s later.
-    pub holds_back: Millis,
+    pub hold_back: Millis,
     /// Up to so much longer, by gateway: what came meanwhile would go everywhere at once, and crash one server for each
-    /// gateway. News of a crash take some tens of milliseconds.
-    pub holds_apart: Millis,
+    /// gateway. Reports of a crash take some tens of milliseconds.
+    pub hold_back_spread: Millis,
     /// How long a report counts. As long as a person takes to look at what was refused; a request that still
     /// crashes servers then does so three times more in each such span.
-    pub lasts: Millis,
+    pub report_ttl: Millis,
     /// Most reports of crashes that are remembered, and most requests that are remembered as cleared; the oldest go
     /// first.
-    pub most_crashes: usize,
+    pub max_crashes: usize,
     /// Most requests that are remembered of one crash; a server of the users takes 12 at once.
-    pub most_suspects: usize,
+    pub max_suspects: usize,
     /// Requests that ended well last at this gateway and are remembered: those of the seconds in which it may hear of a
     /// crash late. A gateway of the users has 13 a second.
-    pub most_well: usize,
+    pub max_completed: usize,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            crashes: 3,
-            at_start: 2,
-            holds_back: Millis(5_000),
-            holds_apart: Millis(5_000),
-            lasts: Millis(600_000),
-            most_crashes: 256,
-            most_suspects: 32,
-            most_well: 512,
+            min_crashes: 3,
+            min_crashes_at_start: 2,
+            hold_back: Millis(5_000),
+            hold_back_spread: Millis(5_000),
+            report_ttl: Millis(600_000),
+            max_crashes: 256,
+            max_suspects: 32,
+            max_completed: 512,
         }
     }
 }
 
 /// Stands for one life of a backend server, the same at all gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct ServerLife(pub u64);
+pub struct ServerIncarnation(pub u64);
 
-impl ServerLife {
+impl ServerIncarnation {
     /// Of a server by its name and, where it tells it, when it started.
-    pub fn of(id: &str, started_unix_ms: Option<u64>) -> ServerLife {
-        ServerLife(hash::score(started_unix_ms.unwrap_or_default(), id))
+    pub fn of(id: &str, started_unix_ms: Option<u64>) -> ServerIncarnation {
+        ServerIncarnation(hash::score(started_unix_ms.unwrap_or_default(), id))
     }
 }
 
@@ -83,7 +83,7 @@
 pub struct Reporter(pub u64);
 
 /// A crash as one gateway saw it: what names a report.
-pub type Sighting = (ServerLife, Reporter);
+pub type CrashReportId = (ServerIncarnation, Reporter);
 
 /// How far a request was at a server as it crashed. Of several that are the same one, the furthest counts: it did no harm
 /// until then.
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
     /// The server.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Who saw it.
     pub reporter: Reporter,
     /// Time since its first answer broke off there, as far as the one who tells has heard.
@@ -139,11 +139,11 @@
 
 /// What a report changed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum News {
+pub enum MergeOutcome {
     /// Nothing.
-    Known,
+    Unchanged,
     /// Something was not known; it can wait for the next exchange.
-    New,
+    Changed,
     /// A request is held back, or suspected of more than one crash, or of so many no more: all need to know.
     Urgent,
 }
@@ -162,7 +162,7 @@
     }
 
     /// Takes the younger: what waited on its way is told too old.
-    fn take(&mut self, age: Millis, now: Millis) {
+    fn record(&mut self, age: Millis, now: Millis) {
         if age < self.age(now) {
             *self = Aged { age_then: age, taken_at: now };
         }
@@ -218,8 +218,9 @@
     /// Of those that were at a crash and at enough in all, the ones that never stayed for long.
     fn told_by(&self, report: &Merged, config: &Config) -> Vec<Fingerprint> {
         let counted = report.suspects.keys().map(|one| (self.0[one], *one));
-        let enough =
-            |count: &Count| count.all >= config.crashes || count.at_start >= config.at_start;
+        let enough = |count: &Count| {
+            count.all >= config.min_crashes || count.at_start >= config.min_crashes_at_start
+        };
         let told: Vec<(Millis, Fingerprint)> = counted
             .filter(|(count, _)| enough(count))
             .map(|(count, one)| (count.longest, one))
@@ -234,9 +235,9 @@
 
 /// Whether a request that is not refused may be sent now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trust {
+pub enum Quarantine {
     /// Nothing is known against it.
-    Free,
+    Unrestricted,
     /// It was just beginning at a server as that crashed, some time ago: one at a time.
     OneAtATime,
     /// Not for so much longer.
@@ -249,7 +250,7 @@
     config: Config,
     /// Tells this gateway from the others.
     own: Reporter,
-    reports: BTreeMap<Sighting, Report>,
+    reports: BTreeMap<CrashReportId, Report>,
     cleared: BTreeMap<Fingerprint, Aged>,
     /// Requests that ended well here last, and when.
     well: VecDeque<(Fingerprint, Millis)>,
@@ -274,35 +275,37 @@
     }
 
     /// How much longer a request is refused, if it is.
-    pub fn refuses(&self, fingerprint: Fingerprint, now: Millis) -> Option<Millis> {
+    pub fn refused_for(&self, fingerprint: Fingerprint, now: Millis) -> Option<Millis> {
         let until = *self.refused.get(&fingerprint)?;
         (until > now).then(|| until.since(now))
     }
 
     /// Whether a request may be sent: it is held back if it was just beginning at a server as that crashed, and nothing
     /// that is refused was there.
-    pub fn trust(&self, fingerprint: Fingerprint, now: Millis) -> Trust {
+    pub fn quarantine(&self, fingerprint: Fingerprint, now: Millis) -> Quarantine {
         if !self.began_at_crash.contains(&fingerprint) {
-            return Trust::Free;
+            return Quarantine::Unrestricted;
         }
         let merged = self.merged(now);
         let unexplained = merged.iter().filter(|(_, crash)| {
-            let is_explained = crash.suspects.keys().any(|one| self.refuses(*one, now).is_some());
+            let is_explained =
+                crash.suspects.keys().any(|one| self.refused_for(*one, now).is_some());
             crash.was_at_start(fingerprint) && !is_explained
         });
-        let left = unexplained.map(|(server, crash)| self.holds(*server).since(crash.age)).max();
+        let left =
+            unexplained.map(|(server, crash)| self.hold_back_time(*server).since(crash.age)).max();
         match left {
-            None => Trust::Free,
-            Some(Millis::ZERO) => Trust::OneAtATime,
-            Some(left) => Trust::HeldBack(left),
+            None => Quarantine::Unrestricted,
+            Some(Millis::ZERO) => Quarantine::OneAtATime,
+            Some(left) => Quarantine::HeldBack(left),
         }
     }
 
     /// How long this gateway holds back what was beginning at a server as that crashed.
-    fn holds(&self, server: ServerLife) -> Millis {
-        let Config { holds_back, holds_apart, .. } = self.config;
+    fn hold_back_time(&self, server: ServerIncarnation) -> Millis {
+        let Config { hold_back, hold_back_spread, .. } = self.config;
         let drawn = hash::score(self.own.0, &server.0.to_string());
-        holds_back + Millis(drawn % holds_apart.0.max(1))
+        hold_back + Millis(drawn % hold_back_spread.0.max(1))
     }
 
     /// Requests that are refused.
@@ -312,15 +315,15 @@
     }
 
     /// Whether a request was at a server that crashed.
-    pub fn suspects(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.reports.values().any(|report| report.suspects.contains_key(&fingerprint))
     }
 
     /// Whether one more crash would make a request refused, if nothing explains it.
-    pub fn is_close(&self, fingerprint: Fingerprint, now: Millis) -> bool {
+    pub fn is_one_crash_from_refusal(&self, fingerprint: Fingerprint, now: Millis) -> bool {
         let merged = self.merged(now);
         let with_it = merged.values().filter(|crash| crash.suspects.contains_key(&fingerprint));
-        with_it.count() + 1 >= self.config.crashes
+        with_it.count() + 1 >= self.config.min_crashes
     }
 
     /// The crashes at which a request was, without what ran beside it and without who saw them.
@@ -340,9 +343,9 @@
     /// The crashes by all reports of each. A server that crashed may take requests for a while before anybody knows; what
     /// was sent after the first answer had broken off there, at whatever gateway, and was not answered, did not
     /// crash it.
-    fn merged(&self, now: Millis) -> BTreeMap<ServerLife, Merged> {
-        let counts = |report: &&Report| report.at.age(now) < self.config.lasts;
-        let mut merged: BTreeMap<ServerLife, Merged> = BTreeMap::new();
+    fn merged(&self, now: Millis) -> BTreeMap<ServerIncarnation, Merged> {
+        let counts = |report: &&Report| report.at.age(now) < self.config.report_ttl;
+        let mut merged: BTreeMap<ServerIncarnation, Merged> = BTreeMap::new();
         for ((server, _), report) in self.reports.iter().filter(|(_, report)| counts(report)) {
             let age = report.at.age(now);
             let crash =
@@ -364,7 +367,7 @@
     }
 
     /// Requests that were at more than one crash: what another process would have to find out again.
-    pub fn worth_keeping(&self, now: Millis) -> BTreeSet<Fingerprint> {
+    pub fn repeat_suspects(&self, now: Millis) -> BTreeSet<Fingerprint> {
         let merged = self.merged(now);
         let mut once = BTreeSet::new();
         let mut more = BTreeSet::new();
@@ -378,20 +381,20 @@
 
     /// A request has ended well at this gateway. Remembered also where it is not suspected yet: the crash may be
     /// heard of late.
-    pub fn ended_well(&mut self, fingerprint: Fingerprint, now: Millis) -> News {
-        if self.well.len() == self.config.most_well {
+    pub fn record_completed(&mut self, fingerprint: Fingerprint, now: Millis) -> MergeOutcome {
+        if self.well.len() == self.config.max_completed {
             self.well.pop_front();
         }
         self.well.push_back((fingerprint, now));
-        if !self.suspects(fingerprint) {
-            return News::Known;
+        if !self.is_suspect(fingerprint) {
+            return MergeOutcome::Unchanged;
         }
         self.clear(Cleared { fingerprint, age: Millis::ZERO }, now)
     }
 
     /// Takes a crash that was seen here, or that another gateway tells of.
-    pub fn take(&mut self, crash: &Crash, now: Millis) -> News {
-        let news = self.take_reported(crash, now);
+    pub fn record(&mut self, crash: &Crash, now: Millis) -> MergeOutcome {
+        let news = self.record_report(crash, now);
         let since = |one: &Suspect| {
             let well = self.well.iter().rev().find(|(well, _)| *well == one.fingerprint);
             well.map(|(_, at)| now.since(*at)).filter(|age| *age < crash.age)
@@ -405,9 +408,9 @@
         cleared.map_or(news, |cleared| cleared.max(news))
     }
 
-    fn take_reported(&mut self, crash: &Crash, now: Millis) -> News {
-        if crash.age >= self.config.lasts {
-            return News::Known;
+    fn record_report(&mut self, crash: &Crash, now: Millis) -> MergeOutcome {
+        if crash.age >= self.config.report_ttl {
+            return MergeOutcome::Unchanged;
         }
         let still_suspect = |suspect: &&Suspect| {
             // One that ended well since did not do it.
@@ -419,11 +422,11 @@
             .reports
             .entry((crash.server, crash.reporter))
             .or_insert_with(|| Report { at, suspects: BTreeMap::new() });
-        report.at.take(crash.age, now);
+        report.at.record(crash.age, now);
         let mut added = Vec::new();
         for suspect in suspects {
             let fingerprint = suspect.fingerprint;
-            let has_room = report.suspects.len() < self.config.most_suspects;
+            let has_room = report.suspects.len() < self.config.max_suspects;
             let known = report.suspects.get(&fingerprint).copied();
             let merged = known.map_or(suspect, |known| known.merge(suspect));
             if known.map_or(has_room, |known| known != merged) {
@@ -435,24 +438,25 @@
             self.reports.remove(&(crash.server, crash.reporter));
         }
         if added.is_empty() {
-            return News::Known;
+            return MergeOutcome::Unchanged;
         }
-        self.forget(now);
-        self.judge(now);
-        let repeated = self.worth_keeping(now);
-        let is_held_back = |one: &Fingerprint| self.trust(*one, now) != Trust::Free;
+        self.expire(now);
+        self.update_refused(now);
+        let repeated = self.repeat_suspects(now);
+        let is_held_back =
+            |one: &Fingerprint| self.quarantine(*one, now) != Quarantine::Unrestricted;
         let urgent = added.iter().any(|one| repeated.contains(one) || is_held_back(one));
-        if urgent { News::Urgent } else { News::New }
+        if urgent { MergeOutcome::Urgent } else { MergeOutcome::Changed }
     }
 
     /// Takes that a request ended well, here or at another gateway: no crash before that was due to it.
-    pub fn clear(&mut self, cleared: Cleared, now: Millis) -> News {
+    pub fn clear(&mut self, cleared: Cleared, now: Millis) -> MergeOutcome {
         let Cleared { fingerprint, age } = cleared;
-        if age >= self.config.lasts {
-            return News::Known;
+        if age >= self.config.report_ttl {
+            return MergeOutcome::Unchanged;
         }
-        let was_repeated = self.worth_keeping(now).contains(&fingerprint)
-            || self.trust(fingerprint, now) != Trust::Free;
+        let was_repeated = self.repeat_suspects(now).contains(&fingerprint)
+            || self.quarantine(fingerprint, now) != Quarantine::Unrestricted;
         let mut is_news = false;
         for report in self.reports.values_mut() {
             if report.at.age(now) >= age && report.suspects.remove(&fingerprint).is_some() {
@@ -461,27 +465,27 @@
         }
         self.reports.retain(|_, report| !report.suspects.is_empty());
         let at = Aged { age_then: age, taken_at: now };
-        self.cleared.entry(fingerprint).or_insert(at).take(age, now);
-        self.forget(now);
+        self.cleared.entry(fingerprint).or_insert(at).record(age, now);
+        self.expire(now);
         if !is_news {
-            return News::Known;
+            return MergeOutcome::Unchanged;
         }
-        self.judge(now);
-        if was_repeated { News::Urgent } else { News::New }
+        self.update_refused(now);
+        if was_repeated { MergeOutcome::Urgent } else { MergeOutcome::Changed }
     }
 
     /// Forgets what is too old, and the oldest of what is too much.
-    pub fn forget(&mut self, now: Millis) {
-        let Config { lasts, most_crashes, .. } = self.config;
-        self.reports.retain(|_, report| report.at.age(now) < lasts);
-        self.cleared.retain(|_, at| at.age(now) < lasts);
+    pub fn expire(&mut self, now: Millis) {
+        let Config { report_ttl, max_crashes, .. } = self.config;
+        self.reports.retain(|_, report| report.at.age(now) < report_ttl);
+        self.cleared.retain(|_, at| at.age(now) < report_ttl);
         self.refused.retain(|_, until| *until > now);
-        while self.reports.len() > most_crashes {
+        while self.reports.len() > max_crashes {
             let oldest = self.reports.iter().max_by_key(|(_, report)| report.at.age(now));
             let Some(sighting) = oldest.map(|(sighting, _)| *sighting) else { break };
             self.reports.remove(&sighting);
         }
-        while self.cleared.len() > most_crashes {
+        while self.cleared.len() > max_crashes {
             let oldest = self.cleared.iter().max_by_key(|(_, at)| at.age(now));
             let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) else { break };
             self.cleared.remove(&fingerprint);
@@ -491,9 +495,9 @@
     /// Finds out which requests are refused, crash by crash from the oldest on: one that was at enough of them
     /// explains all at which it was, and they do not count for what ran beside it. Of several that were at the
     /// same ones, it is the one that never stayed for long: a request beside it was mostly there before.
-    fn judge(&mut self, now: Millis) {
+    fn update_refused(&mut self, now: Millis) {
         let merged = self.merged(now);
-        let mut in_turn: Vec<(&ServerLife, &Merged)> = merged.iter().collect();
+        let mut in_turn: Vec<(&ServerIncarnation, &Merged)> = merged.iter().collect();
         in_turn.sort_by_key(|(server, crash)| (Reverse(crash.age), **server));
         let mut found: Vec<Fingerprint> = Vec::new();
         let mut unexplained: Vec<&Merged> = Vec::new();
@@ -521,28 +525,29 @@
     }
 
     /// How long a request was at enough crashes that still count.
-    fn lasts_for(&self, one: Fingerprint, merged: &BTreeMap<ServerLife, Merged>) -> Millis {
+    fn lasts_for(&self, one: Fingerprint, merged: &BTreeMap<ServerIncarnation, Merged>) -> Millis {
         let with_it = merged.values().filter(|crash| crash.suspects.contains_key(&one));
         let at_start = merged.values().filter(|crash| crash.was_at_start(one));
         let left = |ages: &mut Vec<Millis>, enough: usize| {
             ages.sort();
-            ages.get(enough - 1).map_or(Millis::ZERO, |age| self.config.lasts - *age)
+            ages.get(enough - 1).map_or(Millis::ZERO, |age| self.config.report_ttl - *age)
         };
-        let of_all = left(&mut with_it.map(|crash| crash.age).collect(), self.config.crashes);
-        let of_start = left(&mut at_start.map(|crash| crash.age).collect(), self.config.at_start);
+        let of_all = left(&mut with_it.map(|crash| crash.age).collect(), self.config.min_crashes);
+        let of_start =
+            left(&mut at_start.map(|crash| crash.age).collect(), self.config.min_crashes_at_start);
         of_all.max(of_start)
     }
 
     /// Stands for all that is known; two gateways with the same have nothing to tell each other.
     pub fn digest(&self, now: Millis) -> u64 {
-        self.known(now).iter().fold(0, |all, (_, digest)| all ^ digest)
+        self.report_digests(now).iter().fold(0, |all, (_, digest)| all ^ digest)
     }
 
     /// The reports that are known, each with a number that stands for what was there.
-    pub fn known(&self, now: Millis) -> Vec<(Sighting, u64)> {
+    pub fn report_digests(&self, now: Millis) -> Vec<(CrashReportId, u64)> {
         let counting =
-            self.reports.iter().filter(|(_, report)| report.at.age(now) < self.config.lasts);
-        let digest = |(sighting, report): (&Sighting, &Report)| {
+            self.reports.iter().filter(|(_, report)| report.at.age(now) < self.config.report_ttl);
+        let digest = |(sighting, report): (&CrashReportId, &Report)| {
             let (server, reporter) = sighting;
             let number = |one: &Suspect| {
                 let Suspect { fingerprint, ran, stage } = one;
@@ -555,17 +560,21 @@
     }
 
     /// What one that knows these reports lacks, and the reports of which it may know more.
-    pub fn compare(&self, known: &[(Sighting, u64)], now: Millis) -> (Vec<Crash>, Vec<Sighting>) {
-        let theirs: BTreeMap<Sighting, u64> = known.iter().copied().collect();
-        let own: BTreeMap<Sighting, u64> = self.known(now).into_iter().collect();
+    pub fn compare(
+        &self,
+        known: &[(CrashReportId, u64)],
+        now: Millis,
+    ) -> (Vec<Crash>, Vec<CrashReportId>) {
+        let theirs: BTreeMap<CrashReportId, u64> = known.iter().copied().collect();
+        let own: BTreeMap<CrashReportId, u64> = self.report_digests(now).into_iter().collect();
         let lacking = own.iter().filter(|(sighting, digest)| theirs.get(sighting) != Some(digest));
-        let lacking: Vec<Sighting> = lacking.map(|(sighting, _)| *sighting).collect();
+        let lacking: Vec<CrashReportId> = lacking.map(|(sighting, _)| *sighting).collect();
         let wanted = theirs.iter().filter(|(sighting, digest)| own.get(sighting) != Some(digest));
-        (self.named(&lacking, now), wanted.map(|(sighting, _)| *sighting).collect())
+        (self.reports_by_id(&lacking, now), wanted.map(|(sighting, _)| *sighting).collect())
     }
 
     /// These reports.
-    pub fn named(&self, sightings: &[Sighting], now: Millis) -> Vec<Crash> {
+    pub fn reports_by_id(&self, sightings: &[CrashReportId], now: Millis) -> Vec<Crash> {
         let found = sightings.iter().filter_map(|sighting| {
             let report = self.reports.get(sighting)?;
             Some(Crash {
--- a/crates/core/src/direct/permits.rs
+++ b/crates/core/src/direct/permits.rs
@@ -16,10 +16,10 @@
 use std::collections::HashMap;
 
 use crate::clock::Millis;
-use crate::direct::crashes::ServerLife;
+use crate::direct::advertised_limit::Rate;
+use crate::direct::crashes::ServerIncarnation;
 use crate::direct::fingerprint::Fingerprint;
 use crate::direct::members::LifeId;
-use crate::direct::named_limit::Rate;
 
 /// How long a part counts with the one that it was handed to.
 const HANDED_FOR: Millis = Millis(2_000);
@@ -28,7 +28,7 @@
 const KEPT_FOR: Millis = Millis(2_500);
 
 /// Time between two words of a gateway that asks for nothing: its part stays handed over.
-pub const HAND_EVERY: Millis = Millis(600);
+pub const DELEGATION_INTERVAL: Millis = Millis(600);
 
 /// Permits that are kept for one who asks: one, and so many seconds' worth.
 const SAVED_S: f64 = 0.25;
@@ -45,31 +45,31 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Subject {
     /// Requests to one life of a server.
-    Server(ServerLife),
+    Server(ServerIncarnation),
     /// Trials of a request.
     Trial(Fingerprint),
 }
 
 /// What is given to one who asks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Given {
+pub struct Grant {
     /// So many requests may be sent.
     pub permits: u32,
     /// If none: when there is one, unless others take it.
-    pub again_in: Millis,
+    pub retry_in: Millis,
 }
 
 /// Permits for one subject that are not given out yet.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     level: f64,
     at: Millis,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// One that holds so many permits now.
-    pub(crate) fn holding(level: f64, now: Millis) -> Bucket {
-        Bucket { level, at: now }
+    pub(crate) fn with_level(level: f64, now: Millis) -> TokenBucket {
+        TokenBucket { level, at: now }
     }
 
     /// Adds what came since, at this rate, and takes as many whole permits as are wanted or there are.
@@ -98,7 +98,7 @@
     kept_until: Millis,
     /// Whose parts were handed to this gateway, and until when they count.
     parts: HashMap<GatewayId, Millis>,
-    buckets: HashMap<Subject, Bucket>,
+    buckets: HashMap<Subject, TokenBucket>,
 }
 
 impl Permits {
@@ -113,7 +113,7 @@
     }
 
     /// A gateway is asked: whether the own part is handed to it.
-    pub fn hand_over(&mut self, to: LifeId, now: Millis) -> bool {
+    pub fn delegate_share(&mut self, to: LifeId, now: Millis) -> bool {
         if self.handed_to != Some(to) && now < self.kept_until {
             return false;
         }
@@ -123,21 +123,21 @@
     }
 
     /// A gateway, this one too, has handed its part to this one.
-    pub fn take_part(&mut self, from: GatewayId, now: Millis) {
+    pub fn add_share(&mut self, from: GatewayId, now: Millis) {
         self.parts.insert(from, now + HANDED_FOR);
     }
 
     /// Gives permits for a server of this limit, as many as are wanted or there are; `first` of them are there at the
     /// first question. `gateways` is how many there are, living or not; `None` if this one cannot know.
-    pub fn give(
+    pub fn grant(
         &mut self,
-        server: ServerLife,
+        server: ServerIncarnation,
         limit: Rate,
         wanted: u32,
         first: f64,
         gateways: Option<usize>,
         now: Millis,
-    ) -> Given {
+    ) -> Grant {
         self.parts.retain(|_, until| *until > now);
         let of = gateways.map_or(f64::INFINITY, |known| known.max(self.parts.len()).max(1) as f64);
         let per_ms = limit.per_ms() * self.parts.len() as f64 / of;
@@ -146,7 +146,7 @@
 
     /// Lets one trial of a request begin, if none did less than `every` ago by this one. That holds for who gives out
     /// permits alone, whosever parts it was handed: it may be that two are begun, and none has to wait for the parts.
-    pub fn try_again(&mut self, request: Fingerprint, every: Millis, now: Millis) -> Given {
+    pub fn grant_trial(&mut self, request: Fingerprint, every: Millis, now: Millis) -> Grant {
         self.take(Subject::Trial(request), 1.0 / every.0.max(1) as f64, 1, 1.0, now)
     }
 
@@ -157,10 +157,10 @@
         wanted: u32,
         first: f64,
         now: Millis,
-    ) -> Given {
+    ) -> Grant {
         self.buckets.retain(|_, bucket| now.since(bucket.at) < FORGET);
-        let bucket = self.buckets.entry(subject).or_insert(Bucket::holding(first, now));
+        let bucket = self.buckets.entry(subject).or_insert(TokenBucket::with_level(first, now));
         let permits = bucket.take(per_ms, wanted, now);
-        Given { permits, again_in: bucket.until(1.0, per_ms, now) }
+        Grant { permits, retry_in: bucket.until(1.0, per_ms, now) }
     }
 }
--- a/crates/core/src/direct/pool.rs
+++ b/crates/core/src/direct/pool.rs
@@ -2,7 +2,8 @@
 //!
 //! [`routing`](crate::routing) gives out turns; what is added here is what a gateway learns at the
 //! server itself: that it cannot be reached, refuses, or fails, so that it rests before callers
-//! feel it, and is tried again carefully. What a server asks for itself binds: see [`asked`](crate::direct::asked).
+//! feel it, and is tried again carefully. What a server asks for itself binds: see
+//! [`server_notices`](crate::direct::server_notices).
 
 mod limits;
 
@@ -12,10 +13,10 @@
 use rand::Rng;
 
 use crate::clock::Millis;
-use crate::direct::asked::Asked;
-use crate::direct::crashes::ServerLife;
-use crate::direct::named_limit::Limited;
+use crate::direct::advertised_limit::AdvertisedLimit;
+use crate::direct::crashes::ServerIncarnation;
 use crate::direct::replica::Revision;
+use crate::direct::server_notices::ServerNotices;
 use crate::direct::slow;
 use crate::routing;
 use crate::routing::Candidate;
@@ -120,7 +121,7 @@
 pub struct Server {
     /// As listed last.
     pub listed: Listed,
-    life: ServerLife,
+    life: ServerIncarnation,
     /// Place among the candidates of its service; `None` unless the list has it.
     place: Option<usize>,
     /// When its row was first seen to have changed, by the store's counter.
@@ -139,7 +140,7 @@
     /// Its group stands still, as its engine reported.
     standing: bool,
     /// What it asked itself.
-    asked: Asked,
+    asked: ServerNotices,
 }
 
 /// The listed servers of a service, in two arrays of the same order.
@@ -155,9 +156,9 @@
     config: Config,
     servers: Arena<Server>,
     by_id: HashMap<String, Key<Server>>,
-    by_life: HashMap<ServerLife, Key<Server>>,
+    by_life: HashMap<ServerIncarnation, Key<Server>>,
     /// Those that have named a limit.
-    limits: HashMap<Key<Server>, Limited>,
+    limits: HashMap<Key<Server>, AdvertisedLimit>,
     /// Who is listed at an address.
     by_address: HashMap<SocketAddr, Vec<Key<Server>>>,
     services: HashMap<String, Service>,
@@ -222,7 +223,7 @@
             self.settle(address);
         }
         let id = listed.id.clone();
-        let life = ServerLife::of(&id, listed.started_unix_ms);
+        let life = ServerIncarnation::of(&id, listed.started_unix_ms);
         let server = Server {
             listed,
             life,
@@ -235,7 +236,7 @@
             replaced: false,
             disproved: false,
             standing: false,
-            asked: Asked::default(),
+            asked: ServerNotices::default(),
         };
         let key = self.servers.push(server);
         self.place(key);
@@ -383,7 +384,7 @@
     /// names a limit, that takes a permit as well.
     pub fn takes(&self, key: Key<Server>, now: Millis) -> bool {
         let server = &self.servers[key];
-        server.is_open() && server.asked.rests_until(now).is_none()
+        server.is_open() && server.asked.backing_off_until(now).is_none()
     }
 
     /// When the first server of a service takes requests again, if all that would take them have asked
@@ -403,7 +404,7 @@
 
     /// Whether a server has asked for a rest that lasts.
     pub fn rests(&self, key: Key<Server>, now: Millis) -> bool {
-        self.servers[key].asked.rests_until(now).is_some()
+        self.servers[key].asked.backing_off_until(now).is_some()
     }
 
     /// Whether whoever is listed at an address shall get no order but from its own machine: it rests, or names a
@@ -416,7 +417,7 @@
 
     /// A server asked to be sent nothing for so long.
     pub fn rest(&mut self, key: Key<Server>, span: Millis, now: Millis) {
-        self.servers[key].asked.rest(span, now);
+        self.servers[key].asked.back_off(span, now);
         self.limits.entry(key).or_default();
     }
 
@@ -424,14 +425,14 @@
     pub fn leave(&mut self, key: Key<Server>) -> bool {
         let server = &mut self.servers[key];
         let is_new = !server.is_leaving();
-        server.asked.leave();
+        server.asked.set_leaving();
         is_new
     }
 
     /// A server has answered a request that it took.
     pub fn took(&mut self, key: Key<Server>) {
         let server = &mut self.servers[key];
-        server.asked.took(server.listed.slots);
+        server.asked.record_answer(server.listed.slots);
     }
 
     /// Whether the platform still lists a server, leaving or not, and nothing has shown that another
@@ -531,18 +532,18 @@
 
     /// Whether it may be given work now, and its group makes passes.
     fn is_fit(&self, now: Millis) -> bool {
-        self.is_open() && !self.standing && self.asked.rests_until(now).is_none()
+        self.is_open() && !self.standing && self.asked.backing_off_until(now).is_none()
     }
 
     /// The same, where it does not rest by our judgement, is not slow, and so many requests are no rush.
     fn is_swift(&self, requests: u32, now: Millis) -> bool {
         let is_well = self.rests_until.max(self.slow_until) <= now;
-        is_well && self.is_fit(now) && self.asked.bears_one_more(requests)
+        is_well && self.is_fit(now) && self.asked.admits_one_more(requests)
     }
 
     /// Whether it leaves, by the list or by its own word, which holds whatever the list says later.
     pub fn is_leaving(&self) -> bool {
-        self.listed.leaving || self.asked.leaves()
+        self.listed.leaving || self.asked.announced_leaving()
     }
 
     /// Whether it may be given work.
--- a/crates/core/src/direct/pool/limits.rs
+++ b/crates/core/src/direct/pool/limits.rs
@@ -3,13 +3,13 @@
 use super::Pool;
 use super::Server;
 use crate::clock::Millis;
-use crate::direct::crashes::ServerLife;
-use crate::direct::named_limit::Heard;
-use crate::direct::named_limit::Limited;
-use crate::direct::named_limit::Permission;
-use crate::direct::named_limit::Rate;
-use crate::direct::named_limit::Said;
-use crate::direct::permits::Given;
+use crate::direct::advertised_limit::AdvertisedLimit;
+use crate::direct::advertised_limit::LimitAdvertisement;
+use crate::direct::advertised_limit::LimitMergeOutcome;
+use crate::direct::advertised_limit::Permission;
+use crate::direct::advertised_limit::Rate;
+use crate::direct::crashes::ServerIncarnation;
+use crate::direct::permits::Grant;
 use crate::util::arena::Key;
 
 /// Time after which nobody is told any more that a server names no limit.
@@ -17,23 +17,28 @@
 
 impl Pool {
     /// Takes what a server said of its limit.
-    pub fn hear_limit(&mut self, key: Key<Server>, said: Said) -> Heard {
+    pub fn hear_limit(&mut self, key: Key<Server>, said: LimitAdvertisement) -> LimitMergeOutcome {
         let limited = self.limits.entry(key).or_default();
-        limited.hear(said)
+        limited.apply(said)
     }
 
     /// The same of a server by its life; one that is not known is passed over.
-    pub fn hear_limit_of(&mut self, life: ServerLife, said: Said) -> Heard {
+    pub fn hear_limit_of(
+        &mut self,
+        life: ServerIncarnation,
+        said: LimitAdvertisement,
+    ) -> LimitMergeOutcome {
         match self.by_life.get(&life).copied() {
             Some(key) => self.hear_limit(key, said),
-            None => Heard::Known,
+            None => LimitMergeOutcome::Unchanged,
         }
     }
 
     /// What the listed servers have said of their limits, as far as others may not know.
-    pub fn limits_said(&self, now: Millis) -> Vec<(ServerLife, Said)> {
+    pub fn limits_said(&self, now: Millis) -> Vec<(ServerIncarnation, LimitAdvertisement)> {
         let listed = self.limits.iter().filter(|(key, _)| self.is_present(**key));
-        let said = listed.filter_map(|(key, limited)| Some((self.life(*key), limited.said()?)));
+        let said =
+            listed.filter_map(|(key, limited)| Some((self.life(*key), limited.advertisement()?)));
         said.filter(|(_, said)| said.limit.is_some() || now.since(said.latest) < TOLD_FOR).collect()
     }
 
@@ -43,17 +48,17 @@
     }
 
     /// What a server has said of its limit.
-    pub fn limit_said(&self, life: ServerLife) -> Option<Said> {
-        self.limited(*self.by_life.get(&life)?).and_then(Limited::said)
+    pub fn limit_said(&self, life: ServerIncarnation) -> Option<LimitAdvertisement> {
+        self.limited(*self.by_life.get(&life)?).and_then(AdvertisedLimit::advertisement)
     }
 
     /// The limit that a server names, if it does.
     pub fn limit(&self, key: Key<Server>) -> Option<Rate> {
-        self.limited(key).and_then(Limited::limit)
+        self.limited(key).and_then(AdvertisedLimit::limit)
     }
 
     /// Stands for one life of a server.
-    pub fn life(&self, key: Key<Server>) -> ServerLife {
+    pub fn life(&self, key: Key<Server>) -> ServerIncarnation {
         self.servers[key].life
     }
 
@@ -65,13 +70,13 @@
 
     /// What all gateways together send a server, while it comes back from a rest.
     pub fn returning(&self, key: Key<Server>, now: Millis) -> Option<Rate> {
-        self.servers[key].asked.returning(now)
+        self.servers[key].asked.ramp_up_rate(now)
     }
 
     /// Takes the answer to one who asked for permits.
-    pub fn permits_given(&mut self, key: Key<Server>, given: Given, asked_at: Millis, now: Millis) {
+    pub fn permits_given(&mut self, key: Key<Server>, given: Grant, asked_at: Millis, now: Millis) {
         if let Some(limited) = self.limits.get_mut(&key) {
-            limited.given(given.permits, given.again_in, asked_at, now);
+            limited.apply_grant(given.permits, given.retry_in, asked_at, now);
         }
     }
 
@@ -85,7 +90,7 @@
         let servers = &self.services.get(service)?.servers;
         let fit =
             servers.iter().filter(|key| self.servers[**key].is_fit(now) && !tried.contains(key));
-        fit.filter_map(|key| self.limited(*key).map(Limited::next_at)).min()
+        fit.filter_map(|key| self.limited(*key).map(AdvertisedLimit::may_open_at)).min()
     }
 
     /// A server that was chosen is sent nothing: its turn is given back.
@@ -98,12 +103,12 @@
 
     /// Until when a server is sent nothing, by what it asked: it rests, or there is no permit.
     pub(super) fn bound_until(&self, key: Key<Server>, now: Millis) -> Option<Millis> {
-        let rests = self.servers[key].asked.rests_until(now);
-        let lacks = self.limited(key).and_then(|limited| limited.bound_until(now));
+        let rests = self.servers[key].asked.backing_off_until(now);
+        let lacks = self.limited(key).and_then(|limited| limited.blocked_until(now));
         rests.max(lacks)
     }
 
-    fn limited(&self, key: Key<Server>) -> Option<&Limited> {
+    fn limited(&self, key: Key<Server>) -> Option<&AdvertisedLimit> {
         self.limits.get(&key)
     }
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -17,10 +17,10 @@
 use hooktrestle_schema::Verdict;
 
 use crate::clock::Millis;
-use crate::direct::asked::Asked;
-use crate::direct::named_limit::Limited;
-use crate::direct::named_limit::Said;
-use crate::direct::permits::Bucket;
+use crate::direct::advertised_limit::AdvertisedLimit;
+use crate::direct::advertised_limit::LimitAdvertisement;
+use crate::direct::permits::TokenBucket;
+use crate::direct::server_notices::ServerNotices;
 use crate::fair_queue::Entry;
 use crate::fair_queue::FairQueue;
 use crate::fair_queue::FlowId;
@@ -167,10 +167,10 @@
     tickets: TicketMemory,
     leaving: bool,
     /// What the backend server asked.
-    asked: Asked,
+    asked: ServerNotices,
     /// How many requests a second it takes: all that reach it come through here.
-    limited: Limited,
-    permits: Bucket,
+    limited: AdvertisedLimit,
+    permits: TokenBucket,
 }
 
 impl Dispatcher {
@@ -187,9 +187,9 @@
             mean_run_ms: FIRST_RUN_TIME_MS,
             tickets: TicketMemory::new(config.tickets, incarnation),
             leaving: false,
-            asked: Asked::default(),
-            limited: Limited::default(),
-            permits: Bucket::holding(0.0, Millis::ZERO),
+            asked: ServerNotices::default(),
+            limited: AdvertisedLimit::default(),
+            permits: TokenBucket::with_level(0.0, Millis::ZERO),
         }
     }
 
@@ -277,7 +277,7 @@
             return Next::Expire(key);
         }
         if self.running < self.config.most_running
-            && self.asked.rests_until(now).is_none()
+            && self.asked.backing_off_until(now).is_none()
             && self.has_permit(now)
             && let Some(entry) = self.queue.pop()
         {
@@ -311,14 +311,14 @@
     }
 
     /// The backend server said how many requests it takes, or that it takes any number.
-    pub fn hear_limit(&mut self, said: Said) {
+    pub fn hear_limit(&mut self, said: LimitAdvertisement) {
         // One that names none and never did binds nothing.
         let was_limited = self.is_limited();
         if said.limit.is_some() || was_limited {
-            self.limited.hear(said);
+            self.limited.apply(said);
         }
         if !was_limited {
-            self.permits = Bucket::holding(0.0, said.latest);
+            self.permits = TokenBucket::with_level(0.0, said.latest);
         }
     }
 
@@ -411,9 +411,9 @@
     /// The backend server asked to be sent nothing for a while: nothing waits here for that.
     /// Returns what to refuse as `not-run`, and for how long.
     pub fn rest(&mut self, now: Millis, span: Millis) -> (Vec<RunKey>, Millis) {
-        self.asked.rest(span, now);
+        self.asked.back_off(span, now);
         let waiting = self.give_back(now);
-        (waiting, self.asked.rests_until(now).map_or(Millis::ZERO, |until| until.since(now)))
+        (waiting, self.asked.backing_off_until(now).map_or(Millis::ZERO, |until| until.since(now)))
     }
 
     /// Takes all that waits out of the queue.
@@ -458,7 +458,7 @@
         if offer.deadline_in == Millis::ZERO {
             return Some(Refusal::not_run(Cause::DeadlinePassed));
         }
-        if let Some(until) = self.asked.rests_until(now) {
+        if let Some(until) = self.asked.backing_off_until(now) {
             return Some(Refusal::not_run(Cause::BackendRefused).retry_after(until.since(now)));
         }
         if let Some(limit) = self.limited.limit() {
--- a/crates/core/tests/asked.rs
+++ b/crates/core/tests/asked.rs
@@ -1,25 +1,25 @@
 //! What servers ask of gateways: times that make sense and times that do not, and a fleet of gateways before servers
 //! that ask for rest, leave, stand still with their group and begin new lives.
 
-mod asking_fleet;
+mod notice_fleet;
 
 use std::net::SocketAddr;
 
-use asking_fleet::Fleet;
-use asking_fleet::Hears;
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::asked;
-use hooktrestle_core::direct::asked::MOST_REST;
-use hooktrestle_core::direct::named_limit::Permission;
+use hooktrestle_core::direct::advertised_limit::Permission;
 use hooktrestle_core::direct::permits::GatewayId;
-use hooktrestle_core::direct::permits::Given;
+use hooktrestle_core::direct::permits::Grant;
 use hooktrestle_core::direct::permits::Permits;
 use hooktrestle_core::direct::pool;
 use hooktrestle_core::direct::pool::Ending;
 use hooktrestle_core::direct::pool::Listed;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
+use hooktrestle_core::direct::server_notices;
+use hooktrestle_core::direct::server_notices::MAX_BACK_OFF;
 use hooktrestle_core::util::arena::Key;
+use notice_fleet::Fleet;
+use notice_fleet::Hears;
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -75,15 +75,15 @@
         ("Wed, 21 Oct 2026 07:28:00 GMT", None),
     ];
     for (text, millis) in read {
-        assert_eq!(asked::rest(text), millis.map(Millis), "`{text}`");
+        assert_eq!(server_notices::parse_back_off(text), millis.map(Millis), "`{text}`");
     }
 }
 
 proptest! {
     #[test]
     fn any_text_is_a_bounded_rest_or_none(text in "\\PC*") {
-        let read = asked::rest(&text);
-        prop_assert!(read.is_none_or(|rest| rest > Millis::ZERO && rest <= MOST_REST));
+        let read = server_notices::parse_back_off(&text);
+        prop_assert!(read.is_none_or(|rest| rest > Millis::ZERO && rest <= MAX_BACK_OFF));
     }
 }
 
@@ -125,8 +125,8 @@
 #[test]
 fn a_new_life_owes_nothing_and_an_older_one_says_nothing() {
     let (mut pool, a, b) = pair();
-    pool.rest(a, MOST_REST, Millis(100));
-    pool.rest(b, MOST_REST, Millis(100));
+    pool.rest(a, MAX_BACK_OFF, Millis(100));
+    pool.rest(b, MAX_BACK_OFF, Millis(100));
     pool.leave(b);
     pool.list(listed("a", 1, Some(6)), 2);
     pool.list(listed("b", 2, Some(4)), 3);
@@ -159,7 +159,7 @@
     assert_eq!(at_once[..3], [1, 2, 4]);
     // Rather too many than a refusal, where no other server is left.
     pool.rest(a, Millis(1_000), Millis(9_000));
-    pool.rest(b, MOST_REST, Millis(9_000));
+    pool.rest(b, MAX_BACK_OFF, Millis(9_000));
     assert!((0..4).all(|number| choose(&mut pool, 10_001 + number) == Some(a)));
 }
 
@@ -173,7 +173,7 @@
     let mut permits = Permits::new(Millis(0));
     let mut sent = [0; 4];
     for now in 1_000..5_000 {
-        (0..GATEWAYS as u64).for_each(|from| permits.take_part(GatewayId(from), Millis(now)));
+        (0..GATEWAYS as u64).for_each(|from| permits.add_share(GatewayId(from), Millis(now)));
         let pool = &mut pools[now as usize % GATEWAYS];
         let chosen = choose(pool, now).expect("both are there");
         let taken = match pool.take_permit(chosen, Millis(now)) {
@@ -182,7 +182,7 @@
                 let life = pool.life(chosen);
                 let first = 1.0;
                 let gateways = Some(GATEWAYS);
-                let given = permits.give(life, rate, wanted, first, gateways, Millis(now));
+                let given = permits.grant(life, rate, wanted, first, gateways, Millis(now));
                 pool.permits_given(chosen, given, Millis(now), Millis(now));
                 given.permits > 0 && pool.take_permit(chosen, Millis(now)) != Permission::None
             }
@@ -203,10 +203,10 @@
     // Rather too many than a refusal, where no other server is left.
     let pool = &mut pools[0];
     pool.rest(a, Millis(1_000), Millis(9_000));
-    pool.rest(b, MOST_REST, Millis(9_000));
+    pool.rest(b, MAX_BACK_OFF, Millis(9_000));
     assert_eq!(choose(pool, 10_001), Some(a));
     assert_eq!(pool.take_permit(a, Millis(10_001)), Permission::Ask(1));
-    pool.permits_given(a, Given::default(), Millis(10_001), Millis(10_002));
+    pool.permits_given(a, Grant::default(), Millis(10_001), Millis(10_002));
     assert_eq!(choose(pool, 10_003), Some(a));
     assert_eq!(pool.take_permit(a, Millis(10_003)), Permission::Free);
 }
--- a/crates/core/tests/broken_off.rs
+++ b/crates/core/tests/broken_off.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::broken_off::BrokenOff;
 use hooktrestle_core::direct::crashes::Config;
 use hooktrestle_core::direct::crashes::Crash;
 use hooktrestle_core::direct::crashes::Crashes;
 use hooktrestle_core::direct::crashes::Reporter;
-use hooktrestle_core::direct::crashes::ServerLife;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::crashes::Stage;
 use hooktrestle_core::direct::crashes::Suspect;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
+use hooktrestle_core::direct::truncated_answers::TruncatedAnswers;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
 struct Gateway {
     now: Millis,
     crashes: Crashes,
-    broken: BTreeMap<u64, BrokenOff>,
+    broken: BTreeMap<u64, TruncatedAnswers>,
     rng: ChaCha8Rng,
 }
 
@@ -40,9 +40,9 @@
         let (now, ran) = (self.now, Millis(self.rng.random_range(5..80)));
         if lives && fingerprint != CULPRIT {
             if let Some(broken) = self.broken.get_mut(&server) {
-                broken.lived(now - ran);
+                broken.record_answer(now - ran);
             }
-            self.crashes.ended_well(fingerprint, now);
+            self.crashes.record_completed(fingerprint, now);
             return;
         }
         let stage = if lives { stage } else { Stage::Waiting };
@@ -54,13 +54,13 @@
     fn unlist(&mut self, servers: &[u64]) {
         for server in servers {
             let Some(broken) = self.broken.get_mut(server) else { continue };
-            if broken.is_over(self.now) {
+            if broken.is_expired(self.now) {
                 continue;
             }
-            let (at, suspects) = broken.crash();
-            let (server, reporter) = (ServerLife(*server), Reporter(0));
+            let (at, suspects) = broken.confirm_crash();
+            let (server, reporter) = (ServerIncarnation(*server), Reporter(0));
             self.crashes
-                .take(&Crash { server, reporter, age: self.now.since(at), suspects }, self.now);
+                .record(&Crash { server, reporter, age: self.now.since(at), suspects }, self.now);
         }
     }
 }
@@ -97,7 +97,7 @@
         }
         let gone: Vec<u64> = (1..SERVERS).collect();
         gateway.unlist(&gone);
-        let refused = gateway.crashes.refuses(COMMON, gateway.now);
+        let refused = gateway.crashes.refused_for(COMMON, gateway.now);
         assert_eq!(refused, None, "seed {seed}: a request that ended well after each crash");
     }
 }
@@ -105,19 +105,19 @@
 /// Guards against a crash that is dated by the last answers that broke off there, once the first are forgotten.
 #[test]
 fn a_crash_is_dated_by_the_first_answer_that_broke_off_since_the_server_lived() {
-    let mut broken = BrokenOff::default();
+    let mut broken = TruncatedAnswers::default();
     let suspect = |number| Suspect {
         fingerprint: Fingerprint(number),
         ran: Millis(20),
         stage: Stage::Waiting,
     };
     broken.add(suspect(1), Millis(1_000));
-    broken.lived(Millis(1_500));
+    broken.record_answer(Millis(1_500));
     broken.add(suspect(2), Millis(2_000));
     for number in 3..20 {
         broken.add(suspect(number), Millis(2_000 + 900 * number));
     }
-    let (crashed_at, there) = broken.crash();
+    let (crashed_at, there) = broken.confirm_crash();
     assert_eq!(crashed_at, Millis(2_000));
     assert!(there.is_empty(), "the one that was there is forgotten: {there:?}");
 }
--- a/crates/core/tests/crash_fleet/mod.rs
+++ b/crates/core/tests/crash_fleet/mod.rs
@@ -7,12 +7,12 @@
 use hooktrestle_core::direct::crashes::Config;
 use hooktrestle_core::direct::crashes::Crash;
 use hooktrestle_core::direct::crashes::Crashes;
-use hooktrestle_core::direct::crashes::News;
+use hooktrestle_core::direct::crashes::MergeOutcome;
+use hooktrestle_core::direct::crashes::Quarantine;
 use hooktrestle_core::direct::crashes::Reporter;
-use hooktrestle_core::direct::crashes::ServerLife;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::crashes::Stage;
 use hooktrestle_core::direct::crashes::Suspect;
-use hooktrestle_core::direct::crashes::Trust;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -114,8 +114,8 @@
             && (self.cut_until == Millis::ZERO || now >= self.cut_until + CONTACT)
     }
 
-    fn note(&mut self, news: News) {
-        if news == News::Urgent {
+    fn note(&mut self, news: MergeOutcome) {
+        if news == MergeOutcome::Urgent {
             self.urgent = 2;
         }
     }
@@ -181,8 +181,10 @@
                 self.trouble();
             }
             self.exchange();
-            let known =
-                self.gateways.iter().map(|one| one.crashes.known(one.clock(self.now)).len());
+            let known = self
+                .gateways
+                .iter()
+                .map(|one| one.crashes.report_digests(one.clock(self.now)).len());
             self.outcome.most_known = self.outcome.most_known.max(known.max().unwrap_or(0));
         }
         self.outcome
@@ -231,18 +233,24 @@
         let is_culprit = self.is_culprit(fingerprint);
         self.outcome.innocents += u32::from(!is_culprit);
         let sender = &self.gateways[gateway];
-        if sender.crashes.refuses(fingerprint, sender.clock(now)).is_some() {
+        if sender.crashes.refused_for(fingerprint, sender.clock(now)).is_some() {
             self.outcome.culprits_refused += u32::from(is_culprit);
             self.outcome.innocents_refused += u32::from(!is_culprit);
             return;
         }
-        let trust = sender.crashes.trust(fingerprint, sender.clock(now));
+        let quarantine = sender.crashes.quarantine(fingerprint, sender.clock(now));
         let is_out =
             || self.runs.iter().any(|run| run.fingerprint == fingerprint && run.gateway == gateway);
-        if matches!(trust, Trust::HeldBack(_)) || (trust == Trust::OneAtATime && is_out()) {
+        if matches!(quarantine, Quarantine::HeldBack(_))
+            || (quarantine == Quarantine::OneAtATime && is_out())
+        {
             let crashed = self.began_at_crash.get(&fingerprint);
-            let Config { holds_back, holds_apart, lasts, .. } = Config::default();
-            let longest = if trust == Trust::OneAtATime { lasts } else { holds_back + holds_apart };
+            let Config { hold_back, hold_back_spread, report_ttl, .. } = Config::default();
+            let longest = if quarantine == Quarantine::OneAtATime {
+                report_ttl
+            } else {
+                hold_back + hold_back_spread
+            };
             let has_reason = crashed.is_some_and(|at| now.since(*at) < longest);
             self.outcome.held += 1;
             self.outcome.held_without_reason += u32::from(!has_reason);
@@ -280,9 +288,9 @@
             }
             let gateway = &mut self.gateways[run.gateway];
             let clock = gateway.clock(now);
-            let news = gateway.crashes.ended_well(run.fingerprint, clock);
+            let news = gateway.crashes.record_completed(run.fingerprint, clock);
             gateway.note(news);
-            if news != News::Known {
+            if news != MergeOutcome::Unchanged {
                 self.kept.remove(&run.fingerprint);
             }
         }
@@ -310,16 +318,16 @@
                 self.began_at_crash.insert(run.fingerprint, now);
             }
             let crash = Crash {
-                server: ServerLife(life),
+                server: ServerIncarnation(life),
                 reporter: Reporter(run.gateway as u64),
                 age: Millis::ZERO,
                 suspects: vec![suspect],
             };
             let gateway = &mut self.gateways[run.gateway];
             let clock = gateway.clock(now);
-            let news = gateway.crashes.take(&crash, clock);
+            let news = gateway.crashes.record(&crash, clock);
             gateway.note(news);
-            if gateway.crashes.worth_keeping(clock).contains(&run.fingerprint) {
+            if gateway.crashes.repeat_suspects(clock).contains(&run.fingerprint) {
                 let known = gateway.crashes.crashes_of(run.fingerprint, clock);
                 let dated = known.into_iter().map(|crash| (crash.clone(), now.since(crash.age)));
                 self.kept.insert(run.fingerprint, dated.collect());
@@ -347,7 +355,7 @@
             let mut gateway = Gateway::starting(which, now);
             for (crash, at) in self.kept.values().flatten() {
                 let crash = Crash { age: now.since(*at), ..crash.clone() };
-                gateway.crashes.take(&crash, Millis::ZERO);
+                gateway.crashes.record(&crash, Millis::ZERO);
             }
             self.gateways[which] = gateway;
             // Its connections are gone.
@@ -380,13 +388,13 @@
         let now = self.now;
         let waited = Millis(self.plan.rng.random_range(0..50));
         let clock = self.gateways[to].clock(now);
-        let known = self.gateways[to].crashes.known(clock);
+        let known = self.gateways[to].crashes.report_digests(clock);
         let teller = &self.gateways[from];
         let (told, _) = teller.crashes.compare(&known, teller.clock(now));
         let cleared = teller.crashes.cleared(teller.clock(now));
         let hears = &mut self.gateways[to];
         for crash in told {
-            let news = hears.crashes.take(&Crash { age: crash.age + waited, ..crash }, clock);
+            let news = hears.crashes.record(&Crash { age: crash.age + waited, ..crash }, clock);
             hears.note(news);
         }
         for one in cleared {
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -9,14 +9,14 @@
 use hooktrestle_core::direct::crashes::Cleared;
 use hooktrestle_core::direct::crashes::Config;
 use hooktrestle_core::direct::crashes::Crash;
+use hooktrestle_core::direct::crashes::CrashReportId;
 use hooktrestle_core::direct::crashes::Crashes;
-use hooktrestle_core::direct::crashes::News;
+use hooktrestle_core::direct::crashes::MergeOutcome;
+use hooktrestle_core::direct::crashes::Quarantine;
 use hooktrestle_core::direct::crashes::Reporter;
-use hooktrestle_core::direct::crashes::ServerLife;
-use hooktrestle_core::direct::crashes::Sighting;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::crashes::Stage;
 use hooktrestle_core::direct::crashes::Suspect;
-use hooktrestle_core::direct::crashes::Trust;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
 use proptest::collection::vec;
 use proptest::prelude::any;
@@ -35,7 +35,7 @@
         stage: Stage::Waiting,
     });
     Crash {
-        server: ServerLife(server),
+        server: ServerIncarnation(server),
         reporter: Reporter(1),
         age: Millis::ZERO,
         suspects: suspects.collect(),
@@ -45,7 +45,7 @@
 fn knowing(reports: &[Crash]) -> Crashes {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for report in reports {
-        crashes.take(report, NOW);
+        crashes.record(report, NOW);
     }
     crashes
 }
@@ -53,12 +53,12 @@
 #[test]
 fn the_third_crash_tells() {
     let mut crashes = knowing(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
-    assert_eq!(crashes.refuses(Fingerprint(7), NOW), None);
+    assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
     // Told again, it is the same crash.
-    assert_eq!(crashes.take(&crash(2, &[(7, 90)]), NOW), News::Known);
-    assert_eq!(crashes.refuses(Fingerprint(7), NOW), None);
-    assert_eq!(crashes.take(&crash(3, &[(7, 90)]), NOW), News::Urgent);
-    assert_eq!(crashes.refuses(Fingerprint(7), NOW), Some(Config::default().lasts));
+    assert_eq!(crashes.record(&crash(2, &[(7, 90)]), NOW), MergeOutcome::Unchanged);
+    assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
+    assert_eq!(crashes.record(&crash(3, &[(7, 90)]), NOW), MergeOutcome::Urgent);
+    assert_eq!(crashes.refused_for(Fingerprint(7), NOW), Some(Config::default().report_ttl));
 }
 
 #[test]
@@ -72,12 +72,12 @@
     let mut crashes = knowing(&reports);
     assert_eq!(crashes.refused(NOW), [Fingerprint(7)]);
     // Beside others that it does not explain, it takes three more.
-    crashes.take(&crash(4, &[(9, 10)]), NOW);
-    crashes.take(&crash(5, &[(9, 10)]), NOW);
-    assert_eq!(crashes.refuses(Fingerprint(9), NOW), None);
-    crashes.take(&crash(6, &[(9, 10)]), NOW);
-    assert!(crashes.refuses(Fingerprint(9), NOW).is_some());
-    assert!(crashes.refuses(Fingerprint(7), NOW).is_some(), "as before");
+    crashes.record(&crash(4, &[(9, 10)]), NOW);
+    crashes.record(&crash(5, &[(9, 10)]), NOW);
+    assert_eq!(crashes.refused_for(Fingerprint(9), NOW), None);
+    crashes.record(&crash(6, &[(9, 10)]), NOW);
+    assert!(crashes.refused_for(Fingerprint(9), NOW).is_some());
+    assert!(crashes.refused_for(Fingerprint(7), NOW).is_some(), "as before");
 }
 
 #[test]
@@ -85,11 +85,11 @@
     let mut crashes = knowing(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     let later = NOW + Millis(10);
     let cleared = Cleared { fingerprint: Fingerprint(7), age: Millis::ZERO };
-    assert_eq!(crashes.clear(cleared, later), News::Urgent);
+    assert_eq!(crashes.clear(cleared, later), MergeOutcome::Urgent);
     let old = Crash { age: Millis(500), ..crash(3, &[(7, 90)]) };
-    assert_eq!(crashes.take(&old, later), News::Known, "it crashed before that");
+    assert_eq!(crashes.record(&old, later), MergeOutcome::Unchanged, "it crashed before that");
     for server in 4..6 {
-        crashes.take(&crash(server, &[(7, 90)]), later + Millis(10));
+        crashes.record(&crash(server, &[(7, 90)]), later + Millis(10));
     }
     assert_eq!(crashes.refused(later + Millis(10)), [], "two since");
 }
@@ -99,15 +99,15 @@
     let config = Config::default();
     let mut crashes = knowing(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     let later = NOW + Millis(60_000);
-    crashes.take(&crash(3, &[(7, 90)]), later);
-    let end = NOW + config.lasts;
-    assert_eq!(crashes.refuses(Fingerprint(7), later), Some(end.since(later)));
-    assert_eq!(crashes.refuses(Fingerprint(7), end), None);
-    crashes.forget(end);
-    assert_eq!(crashes.known(end).len(), 1, "the last is as old as that later");
+    crashes.record(&crash(3, &[(7, 90)]), later);
+    let end = NOW + config.report_ttl;
+    assert_eq!(crashes.refused_for(Fingerprint(7), later), Some(end.since(later)));
+    assert_eq!(crashes.refused_for(Fingerprint(7), end), None);
+    crashes.expire(end);
+    assert_eq!(crashes.report_digests(end).len(), 1, "the last is as old as that later");
     // What is told too late counts no more.
-    let old = Crash { age: config.lasts, ..crash(9, &[(7, 90)]) };
-    assert_eq!(crashes.take(&old, end), News::Known);
+    let old = Crash { age: config.report_ttl, ..crash(9, &[(7, 90)]) };
+    assert_eq!(crashes.record(&old, end), MergeOutcome::Unchanged);
 }
 
 #[test]
@@ -116,18 +116,19 @@
     let mut crashes = Crashes::new(config, Reporter(1));
     for server in 0..1_000_u64 {
         let suspects: Vec<(u64, u64)> = (0..100).map(|number| (server * 100 + number, 5)).collect();
-        crashes.take(&crash(server, &suspects), NOW + Millis(server));
+        crashes.record(&crash(server, &suspects), NOW + Millis(server));
     }
     let end = NOW + Millis(1_000);
-    assert_eq!(crashes.known(end).len(), config.most_crashes);
-    let kept: Vec<Sighting> = crashes.known(end).iter().map(|(sighting, _)| *sighting).collect();
-    assert!(kept.iter().all(|(server, _)| server.0 >= 1_000 - config.most_crashes as u64));
-    let told = crashes.named(&kept, end);
-    assert!(told.iter().all(|one| one.suspects.len() <= config.most_suspects));
+    assert_eq!(crashes.report_digests(end).len(), config.max_crashes);
+    let kept: Vec<CrashReportId> =
+        crashes.report_digests(end).iter().map(|(sighting, _)| *sighting).collect();
+    assert!(kept.iter().all(|(server, _)| server.0 >= 1_000 - config.max_crashes as u64));
+    let told = crashes.reports_by_id(&kept, end);
+    assert!(told.iter().all(|one| one.suspects.len() <= config.max_suspects));
     for number in 0..1_000 {
         crashes.clear(Cleared { fingerprint: Fingerprint(number), age: Millis::ZERO }, end);
     }
-    assert!(crashes.cleared(end).len() <= config.most_crashes);
+    assert!(crashes.cleared(end).len() <= config.max_crashes);
 }
 
 #[test]
@@ -170,7 +171,7 @@
             refused
         };
         assert_eq!(sorted(&one), sorted(&other));
-        assert_eq!(one.compare(&other.known(NOW), NOW), (Vec::new(), Vec::new()));
+        assert_eq!(one.compare(&other.report_digests(NOW), NOW), (Vec::new(), Vec::new()));
     }
 }
 
@@ -184,18 +185,18 @@
         assert_eq!(outcome.innocents_refused, 0, "seed {seed}: of {}", outcome.innocents);
         assert_eq!(outcome.held_without_reason, 0, "seed {seed}: of {}", outcome.innocents);
         assert!(outcome.culprits_refused > 0, "seed {seed}");
-        assert!(outcome.most_known <= Config::default().most_crashes, "seed {seed}");
+        assert!(outcome.most_known <= Config::default().max_crashes, "seed {seed}");
     }
 }
 
 #[test]
 fn who_ended_well_before_the_crash_was_heard_of_did_not_do_it() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
-    crashes.ended_well(Fingerprint(7), NOW);
+    crashes.record_completed(Fingerprint(7), NOW);
     let heard_at = NOW + Millis(900);
     for server in 1..4 {
         let told = Crash { age: Millis(1_000), ..crash(server, &[(7, 90), (8, 90)]) };
-        crashes.take(&told, heard_at);
+        crashes.record(&told, heard_at);
     }
     assert_eq!(crashes.refused(heard_at), [Fingerprint(8)]);
     let cleared: Vec<Fingerprint> =
@@ -203,9 +204,9 @@
     assert_eq!(cleared, [Fingerprint(7)], "others are told");
     // Before the crash, it says nothing.
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
-    crashes.ended_well(Fingerprint(7), NOW);
+    crashes.record_completed(Fingerprint(7), NOW);
     for server in 1..4 {
-        crashes.take(&crash(server, &[(7, 90)]), NOW + Millis(10));
+        crashes.record(&crash(server, &[(7, 90)]), NOW + Millis(10));
     }
     assert_eq!(crashes.refused(NOW + Millis(10)), [Fingerprint(7)]);
 }
@@ -222,24 +223,24 @@
             age: Millis(1_400),
             ..crash(server, &[(8, 20), (9, 800)])
         };
-        crashes.take(&seen_late, NOW);
-        crashes.take(&seen, NOW);
+        crashes.record(&seen_late, NOW);
+        crashes.record(&seen, NOW);
     }
     assert_eq!(crashes.refused(NOW), [Fingerprint(7)]);
     // Where its answer had begun, the server had lived until then: what broke off before was another matter.
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for server in 1..4 {
         let spoilt = Crash { age: Millis(4_000), ..crash(server, &[(100 + server, 90)]) };
-        crashes.take(&spoilt, NOW);
+        crashes.record(&spoilt, NOW);
         let mut seen = Crash { reporter: Reporter(2), ..crash(server, &[(7, 80)]) };
         seen.suspects[0].stage = Stage::Running;
-        crashes.take(&seen, NOW);
+        crashes.record(&seen, NOW);
     }
     assert_eq!(crashes.refused(NOW), [Fingerprint(7)]);
     // Told by nobody else, it counts.
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for server in 1..4 {
-        crashes.take(&Crash { reporter: Reporter(2), ..crash(server, &[(8, 20)]) }, NOW);
+        crashes.record(&Crash { reporter: Reporter(2), ..crash(server, &[(8, 20)]) }, NOW);
     }
     assert_eq!(crashes.refused(NOW), [Fingerprint(8)]);
 }
@@ -253,16 +254,22 @@
 
 #[test]
 fn who_was_just_beginning_at_a_crash_is_held_back_until_its_server_can_be_back() {
-    let Config { holds_back, holds_apart, .. } = Config::default();
+    let Config { hold_back, hold_back_spread, .. } = Config::default();
     let mut ends = Vec::new();
     for own in 1..20 {
         let mut crashes = Crashes::new(Config::default(), Reporter(own));
-        assert_eq!(crashes.take(&at_start(1, 7), NOW), News::Urgent, "all need to know");
-        let Trust::HeldBack(left) = crashes.trust(Fingerprint(7), NOW) else { panic!("{own}") };
-        assert!(left >= holds_back && left < holds_back + holds_apart, "{left}");
-        assert_eq!(crashes.trust(Fingerprint(8), NOW), Trust::Free, "others are not");
-        assert_eq!(crashes.refuses(Fingerprint(7), NOW), None);
-        assert_eq!(crashes.trust(Fingerprint(7), NOW + left), Trust::OneAtATime);
+        assert_eq!(crashes.record(&at_start(1, 7), NOW), MergeOutcome::Urgent, "all need to know");
+        let Quarantine::HeldBack(left) = crashes.quarantine(Fingerprint(7), NOW) else {
+            panic!("{own}")
+        };
+        assert!(left >= hold_back && left < hold_back + hold_back_spread, "{left}");
+        assert_eq!(
+            crashes.quarantine(Fingerprint(8), NOW),
+            Quarantine::Unrestricted,
+            "others are not"
+        );
+        assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
+        assert_eq!(crashes.quarantine(Fingerprint(7), NOW + left), Quarantine::OneAtATime);
         ends.push(left);
     }
     ends.sort();
@@ -274,31 +281,35 @@
 fn who_got_further_or_ends_well_is_let_go() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     // Whoever had got further did no harm until then, whatever else of it just began there.
-    crashes.take(&at_start(2, 9), NOW);
-    assert!(matches!(crashes.trust(Fingerprint(9), NOW), Trust::HeldBack(_)));
+    crashes.record(&at_start(2, 9), NOW);
+    assert!(matches!(crashes.quarantine(Fingerprint(9), NOW), Quarantine::HeldBack(_)));
     let mut further = at_start(2, 9);
     further.reporter = Reporter(2);
     further.suspects[0].stage = Stage::Running;
-    crashes.take(&further, NOW);
-    assert_eq!(crashes.trust(Fingerprint(9), NOW), Trust::Free);
-    crashes.take(&at_start(1, 7), NOW);
+    crashes.record(&further, NOW);
+    assert_eq!(crashes.quarantine(Fingerprint(9), NOW), Quarantine::Unrestricted);
+    crashes.record(&at_start(1, 7), NOW);
     let cleared = Cleared { fingerprint: Fingerprint(7), age: Millis::ZERO };
-    assert_eq!(crashes.clear(cleared, NOW + Millis(5)), News::Urgent);
-    assert_eq!(crashes.trust(Fingerprint(7), NOW + Millis(5)), Trust::Free);
+    assert_eq!(crashes.clear(cleared, NOW + Millis(5)), MergeOutcome::Urgent);
+    assert_eq!(crashes.quarantine(Fingerprint(7), NOW + Millis(5)), Quarantine::Unrestricted);
 }
 
 #[test]
 fn the_second_crash_at_its_beginning_tells() {
     let mut crashes = knowing(&[at_start(1, 7), crash(2, &[(7, 90)])]);
-    assert_eq!(crashes.refuses(Fingerprint(7), NOW), None, "one at its beginning, one before");
+    assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None, "one at its beginning, one before");
     let later = NOW + Millis(9_000);
     let mut third = at_start(3, 7);
     third.suspects.extend(crash(3, &[(8, 40)]).suspects);
     third.suspects[1].stage = Stage::Starting;
-    crashes.take(&third, later);
+    crashes.record(&third, later);
     assert_eq!(crashes.refused(later), [Fingerprint(7)]);
-    assert_eq!(crashes.trust(Fingerprint(8), later), Trust::Free, "explained by the other");
-    let left = crashes.refuses(Fingerprint(7), later).unwrap();
-    assert!(left >= Config::default().lasts - Millis(9_000));
-    assert_eq!(crashes.refuses(Fingerprint(7), later + left), None);
+    assert_eq!(
+        crashes.quarantine(Fingerprint(8), later),
+        Quarantine::Unrestricted,
+        "explained by the other"
+    );
+    let left = crashes.refused_for(Fingerprint(7), later).unwrap();
+    assert!(left >= Config::default().report_ttl - Millis(9_000));
+    assert_eq!(crashes.refused_for(Fingerprint(7), later + left), None);
 }
--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/named_limit.rs
@@ -4,14 +4,14 @@
 mod permit_fleet;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::crashes::ServerLife;
+use hooktrestle_core::direct::advertised_limit::AdvertisedLimit;
+use hooktrestle_core::direct::advertised_limit::LimitAdvertisement;
+use hooktrestle_core::direct::advertised_limit::LimitMergeOutcome;
+use hooktrestle_core::direct::advertised_limit::PERMIT_VALIDITY;
+use hooktrestle_core::direct::advertised_limit::Permission;
+use hooktrestle_core::direct::advertised_limit::Rate;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::members::LifeId;
-use hooktrestle_core::direct::named_limit::GOOD_FOR;
-use hooktrestle_core::direct::named_limit::Heard;
-use hooktrestle_core::direct::named_limit::Limited;
-use hooktrestle_core::direct::named_limit::Permission;
-use hooktrestle_core::direct::named_limit::Rate;
-use hooktrestle_core::direct::named_limit::Said;
 use hooktrestle_core::direct::permits::GatewayId;
 use hooktrestle_core::direct::permits::Permits;
 use hooktrestle_core::dispatch;
@@ -33,14 +33,14 @@
 
 const LIMITS: [f64; 7] = [0.0, 0.3, 1.3, 7.7, 33.3, 250.0, 1e6];
 
-fn said(limit: Option<u64>, earliest: u64, latest: u64) -> Said {
+fn said(limit: Option<u64>, earliest: u64, latest: u64) -> LimitAdvertisement {
     let limit = limit.map(|in_1000_s| Rate { in_1000_s });
-    Said { limit, earliest: Millis(earliest), latest: Millis(latest) }
+    LimitAdvertisement { limit, earliest: Millis(earliest), latest: Millis(latest) }
 }
 
-fn limited(in_1000_s: u64) -> Limited {
-    let mut limited = Limited::default();
-    assert_eq!(limited.hear(said(Some(in_1000_s), 100, 110)), Heard::Urgent);
+fn limited(in_1000_s: u64) -> AdvertisedLimit {
+    let mut limited = AdvertisedLimit::default();
+    assert_eq!(limited.apply(said(Some(in_1000_s), 100, 110)), LimitMergeOutcome::Urgent);
     limited
 }
 
@@ -64,14 +64,14 @@
         ("3 a second", None),
     ];
     for (text, rate) in read {
-        assert_eq!(Rate::named(text), rate.map(|in_1000_s| Rate { in_1000_s }), "`{text}`");
+        assert_eq!(Rate::from_text(text), rate.map(|in_1000_s| Rate { in_1000_s }), "`{text}`");
     }
 }
 
 proptest! {
     #[test]
     fn any_text_is_a_bounded_rate_or_none(text in "\\PC*") {
-        let read = Rate::named(&text);
+        let read = Rate::from_text(&text);
         prop_assert!(read.is_none_or(|rate| rate.in_1000_s <= 1_000_000_000_000));
     }
 
@@ -81,22 +81,22 @@
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
         // Each was said after the one before it was heard.
-        let all: Vec<Said> = limits
+        let all: Vec<LimitAdvertisement> = limits
             .iter()
             .enumerate()
             .map(|(number, limit)| said(*limit, 100 * number as u64, 100 * number as u64 + 50))
             .collect();
-        let mut heard = Limited::default();
+        let mut heard = AdvertisedLimit::default();
         let known = all.iter().find(|one| one.limit.is_some());
         if let Some(first) = known {
-            heard.hear(*first);
+            heard.apply(*first);
         }
         for index in &order {
-            heard.hear(*index.get(&all));
+            heard.apply(*index.get(&all));
         }
-        heard.hear(all[all.len() - 1]);
+        heard.apply(all[all.len() - 1]);
         for index in &order {
-            heard.hear(*index.get(&all));
+            heard.apply(*index.get(&all));
         }
         prop_assert_eq!(heard.limit(), all[all.len() - 1].limit);
     }
@@ -105,15 +105,19 @@
 #[test]
 fn of_answers_that_overtake_each_other_the_lower_limit_binds() {
     let mut one = limited(1_000);
-    assert_eq!(one.hear(said(Some(4_000), 105, 130)), Heard::Known, "it may be older");
-    assert_eq!(one.hear(said(None, 105, 130)), Heard::Known);
+    assert_eq!(
+        one.apply(said(Some(4_000), 105, 130)),
+        LimitMergeOutcome::Unchanged,
+        "it may be older"
+    );
+    assert_eq!(one.apply(said(None, 105, 130)), LimitMergeOutcome::Unchanged);
     assert_eq!(one.limit(), Some(Rate { in_1000_s: 1_000 }));
-    assert_eq!(one.hear(said(Some(400), 90, 120)), Heard::Urgent, "it may be newer");
-    assert_eq!(one.hear(said(Some(4_000), 120, 140)), Heard::Changed, "it is newer");
-    assert_eq!(one.hear(said(Some(400), 90, 110)), Heard::Known, "it is older");
-    assert_eq!(one.hear(said(None, 150, 160)), Heard::Changed);
+    assert_eq!(one.apply(said(Some(400), 90, 120)), LimitMergeOutcome::Urgent, "it may be newer");
+    assert_eq!(one.apply(said(Some(4_000), 120, 140)), LimitMergeOutcome::Changed, "it is newer");
+    assert_eq!(one.apply(said(Some(400), 90, 110)), LimitMergeOutcome::Unchanged, "it is older");
+    assert_eq!(one.apply(said(None, 150, 160)), LimitMergeOutcome::Changed);
     assert_eq!(one.take(None, Millis(170)), Permission::Free);
-    assert_eq!(one.hear(said(Some(400), 90, 110)), Heard::Known, "it is older");
+    assert_eq!(one.apply(said(Some(400), 90, 110)), LimitMergeOutcome::Unchanged, "it is older");
 }
 
 #[test]
@@ -121,19 +125,19 @@
     let mut one = limited(1_000);
     assert_eq!(one.take(None, Millis(200)), Permission::Ask(1));
     assert_eq!(one.take(None, Millis(201)), Permission::None, "an answer is waited for");
-    one.given(2, Millis::ZERO, Millis(200), Millis(203));
-    let good_until = Millis(200) + GOOD_FOR;
+    one.apply_grant(2, Millis::ZERO, Millis(200), Millis(203));
+    let good_until = Millis(200) + PERMIT_VALIDITY;
     assert_eq!(one.take(None, Millis(204)), Permission::Until(good_until));
     assert_eq!(
         one.take(None, good_until),
         Permission::Ask(1),
         "nothing is saved up, asleep or not"
     );
-    one.given(0, Millis(3), good_until, good_until);
+    one.apply_grant(0, Millis(3), good_until, good_until);
     assert_eq!(one.take(None, good_until + Millis(19)), Permission::None);
     assert_eq!(one.take(None, good_until + Millis(20)), Permission::Ask(1));
-    one.given(0, Millis(1_800), good_until, good_until);
-    let told = one.bound_until(good_until + Millis(499));
+    one.apply_grant(0, Millis(1_800), good_until, good_until);
+    let told = one.blocked_until(good_until + Millis(499));
     assert_eq!(told, Some(good_until + Millis(1_800)), "callers are told when there is one");
     assert_eq!(one.take(None, good_until + Millis(500)), Permission::Ask(1), "it may come sooner");
     // No answer ever came.
@@ -143,28 +147,31 @@
 #[test]
 fn a_part_is_handed_to_one_at_a_time() {
     let mut one = Permits::new(Millis::ZERO);
-    assert!(!one.hand_over(LifeId(1), Millis(100)), "the process before may have handed it over");
-    assert!(one.hand_over(LifeId(1), Millis(3_000)));
-    assert!(one.hand_over(LifeId(1), Millis(4_000)));
-    assert!(!one.hand_over(LifeId(2), Millis(6_400)));
-    assert!(one.hand_over(LifeId(2), Millis(6_500)));
+    assert!(
+        !one.delegate_share(LifeId(1), Millis(100)),
+        "the process before may have handed it over"
+    );
+    assert!(one.delegate_share(LifeId(1), Millis(3_000)));
+    assert!(one.delegate_share(LifeId(1), Millis(4_000)));
+    assert!(!one.delegate_share(LifeId(2), Millis(6_400)));
+    assert!(one.delegate_share(LifeId(2), Millis(6_500)));
 }
 
 #[test]
 fn what_is_given_out_follows_the_parts_and_is_not_saved_up() {
     let mut one = Permits::new(Millis::ZERO);
-    let (server, limit) = (ServerLife(1), Rate { in_1000_s: 8_000 });
-    let give = |permits: &mut Permits, now| {
-        permits.give(server, limit, 1_000, 0.0, Some(4), Millis(now)).permits
+    let (server, limit) = (ServerIncarnation(1), Rate { in_1000_s: 8_000 });
+    let grant = |permits: &mut Permits, now| {
+        permits.grant(server, limit, 1_000, 0.0, Some(4), Millis(now)).permits
     };
-    assert_eq!(give(&mut one, 0), 0);
-    assert_eq!(give(&mut one, 60_000 - 1), 0, "nobody has handed it a part");
+    assert_eq!(grant(&mut one, 0), 0);
+    assert_eq!(grant(&mut one, 60_000 - 1), 0, "nobody has handed it a part");
     for from in 0..2 {
-        one.take_part(GatewayId(from), Millis(60_000));
+        one.add_share(GatewayId(from), Millis(60_000));
     }
-    assert_eq!(give(&mut one, 60_500), 2, "half of 8 a second");
-    assert_eq!(give(&mut one, 61_900), 2, "one, and a quarter of a second's worth");
-    assert_eq!(give(&mut one, 62_000), 0, "they have handed it over for no longer");
+    assert_eq!(grant(&mut one, 60_500), 2, "half of 8 a second");
+    assert_eq!(grant(&mut one, 61_900), 2, "one, and a quarter of a second's worth");
+    assert_eq!(grant(&mut one, 62_000), 0, "they have handed it over for no longer");
 }
 
 /// Requests of one gateway to a sidecar whose server named a limit at 0: one each so many ms, with this deadline. Returns
--- a/crates/core/tests/asking_fleet/mod.rs
+++ b/crates/core/tests/notice_fleet/mod.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::asked;
 use hooktrestle_core::direct::pool;
 use hooktrestle_core::direct::pool::Ending;
 use hooktrestle_core::direct::pool::Listed;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
+use hooktrestle_core::direct::server_notices;
 use hooktrestle_core::util::arena::Key;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -280,7 +280,8 @@
             pool.took(key);
         }
         let heard = Heard { gateway, server, life, heard: now, until: None };
-        if let Some(span) = says.rest.and_then(|index| asked::rest(TOLD[index])) {
+        if let Some(span) = says.rest.and_then(|index| server_notices::parse_back_off(TOLD[index]))
+        {
             self.seen.rests += 1;
             self.heard.push(Heard { until: Some(now + span), ..heard });
             if self.hears != Hears::NoRest {
--- a/crates/core/tests/permit_fleet/mod.rs
+++ b/crates/core/tests/permit_fleet/mod.rs
@@ -6,23 +6,23 @@
 use std::collections::BinaryHeap;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::crashes::ServerLife;
+use hooktrestle_core::direct::advertised_limit::ASK_TIMEOUT;
+use hooktrestle_core::direct::advertised_limit::AdvertisedLimit;
+use hooktrestle_core::direct::advertised_limit::LimitAdvertisement;
+use hooktrestle_core::direct::advertised_limit::Permission;
+use hooktrestle_core::direct::advertised_limit::Rate;
+use hooktrestle_core::direct::advertised_limit::TRANSIT_ALLOWANCE;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::members::LifeId;
-use hooktrestle_core::direct::named_limit::ASK_TIMEOUT;
-use hooktrestle_core::direct::named_limit::Limited;
-use hooktrestle_core::direct::named_limit::ON_THE_WAY;
-use hooktrestle_core::direct::named_limit::Permission;
-use hooktrestle_core::direct::named_limit::Rate;
-use hooktrestle_core::direct::named_limit::Said;
+use hooktrestle_core::direct::permits::DELEGATION_INTERVAL;
 use hooktrestle_core::direct::permits::GatewayId;
-use hooktrestle_core::direct::permits::Given;
-use hooktrestle_core::direct::permits::HAND_EVERY;
+use hooktrestle_core::direct::permits::Grant;
 use hooktrestle_core::direct::permits::Permits;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const SERVER: ServerLife = ServerLife(7);
+const SERVER: ServerIncarnation = ServerIncarnation(7);
 const LENGTH_MS: u64 = 60_000;
 
 /// Longest way of a message, and time after which a gateway that was not heard of is silent.
@@ -75,7 +75,7 @@
     life: u64,
     lives: bool,
     frozen_until: Millis,
-    limited: Limited,
+    limited: AdvertisedLimit,
     permits: Permits,
     heard: Vec<Millis>,
     passed_by: Vec<Millis>,
@@ -106,7 +106,7 @@
             life: 1,
             lives: true,
             frozen_until: Millis::ZERO,
-            limited: Limited::default(),
+            limited: AdvertisedLimit::default(),
             permits: Permits::new(Millis::ZERO),
             heard: vec![Millis::ZERO; play.gateways],
             passed_by: vec![Millis::ZERO; play.gateways],
@@ -136,7 +136,7 @@
             for at in (first..LENGTH_MS).step_by(NEWS_EVERY_MS as usize) {
                 fleet.at(Millis(at), Event::News { of });
             }
-            for at in (first..LENGTH_MS).step_by(HAND_EVERY.0 as usize) {
+            for at in (first..LENGTH_MS).step_by(DELEGATION_INTERVAL.0 as usize) {
                 fleet.at(Millis(at), Event::Beats { of });
             }
         }
@@ -182,18 +182,18 @@
             }
             Event::Answers { to, life, limit, sent } if self.is(to, life, now) => {
                 let limit = limit.map(|in_1000_s| Rate { in_1000_s });
-                let said = Said { limit, earliest: Millis(sent), latest: now };
+                let said = LimitAdvertisement { limit, earliest: Millis(sent), latest: now };
                 // Who was never told of a limit keeps none.
                 if limit.is_some() || self.gateways[to].limited.limit().is_some() {
-                    self.gateways[to].limited.hear(said);
+                    self.gateways[to].limited.apply(said);
                 }
             }
             Event::Asks { from, to, life, hands_over, wanted, asked }
                 if self.reaches(from, to, now) =>
             {
                 self.tell(from, to);
-                let given = self.give(from, to, hands_over, wanted, now);
-                let (permits, again_ms) = (given.permits, given.again_in.0);
+                let given = self.grant(from, to, hands_over, wanted, now);
+                let (permits, again_ms) = (given.permits, given.retry_in.0);
                 self.later(now, Event::Gives { to: from, life, permits, again_ms, asked });
             }
             Event::Gives { to, life, permits, again_ms, asked } if self.is(to, life, now) => {
@@ -201,7 +201,7 @@
                 if gateway.asked == Some(asked) {
                     gateway.asked = None;
                     let (asked, again) = (Millis(asked), Millis(again_ms));
-                    gateway.limited.given(permits, again, asked, now);
+                    gateway.limited.apply_grant(permits, again, asked, now);
                     self.request(to, now);
                 }
             }
@@ -210,7 +210,7 @@
                 if gateway.asked == Some(asked) {
                     gateway.asked = None;
                     gateway.passed_by[on] = now + PASS_BY;
-                    gateway.limited.given(0, Millis::ZERO, Millis(asked), now);
+                    gateway.limited.apply_grant(0, Millis::ZERO, Millis(asked), now);
                 }
             }
             Event::Beats { of }
@@ -240,7 +240,7 @@
         match self.gateways[to].limited.take(None, now) {
             Permission::Free | Permission::Until(_) => {
                 let named_at = self.named[self.named.len() - 1].0;
-                let said = self.gateways[to].limited.said();
+                let said = self.gateways[to].limited.advertisement();
                 let knew = said.is_some_and(|said| said.latest >= named_at);
                 self.later(now, Event::Arrives { from: to, life, sent: now.0, knew });
             }
@@ -261,15 +261,15 @@
         };
         let life = gateway.life;
         let of = LifeId(first as u64 * 1_000 + self.gateways[first].life);
-        let hands_over = self.gateways[from].permits.hand_over(of, now);
+        let hands_over = self.gateways[from].permits.delegate_share(of, now);
         if wanted > 0 {
             self.gateways[from].asked = Some(now.0);
             let gives_up = Event::GivesUp { by: from, life, on: first, asked: now.0 };
             self.at(now + ASK_TIMEOUT, gives_up);
         }
         if first == from {
-            let given = self.give(from, from, hands_over, wanted, now);
-            let (permits, again_ms) = (given.permits, given.again_in.0);
+            let given = self.grant(from, from, hands_over, wanted, now);
+            let (permits, again_ms) = (given.permits, given.retry_in.0);
             if wanted > 0 {
                 self.at(now, Event::Gives { to: from, life, permits, again_ms, asked: now.0 });
             }
@@ -279,19 +279,19 @@
         self.later(now, asks);
     }
 
-    fn give(&mut self, from: usize, to: usize, hands: bool, wanted: u32, now: Millis) -> Given {
+    fn grant(&mut self, from: usize, to: usize, hands: bool, wanted: u32, now: Millis) -> Grant {
         let gateways = match self.play.kept {
             Kept::Together => self.gateways.iter().filter(|one| one.listed).count(),
             Kept::EachTheWhole => 1,
         };
         let limit = self.gateways[to].limited.limit();
-        let giver = &mut self.gateways[to];
+        let grantor = &mut self.gateways[to];
         if hands {
-            giver.permits.take_part(GatewayId(from as u64), now);
+            grantor.permits.add_share(GatewayId(from as u64), now);
         }
         match limit {
-            Some(limit) => giver.permits.give(SERVER, limit, wanted, 0.0, Some(gateways), now),
-            None => Given { permits: wanted, again_in: Millis::ZERO },
+            Some(limit) => grantor.permits.grant(SERVER, limit, wanted, 0.0, Some(gateways), now),
+            None => Grant { permits: wanted, retry_in: Millis::ZERO },
         }
     }
 
@@ -312,9 +312,9 @@
 
     /// What one knows of the limit, told to another, also with each question about permits.
     fn tell(&mut self, from: usize, to: usize) {
-        if let Some(said) = self.gateways[from].limited.said() {
-            let told = Said { earliest: said.earliest - ON_THE_WAY, ..said };
-            self.gateways[to].limited.hear(told);
+        if let Some(said) = self.gateways[from].limited.advertisement() {
+            let told = LimitAdvertisement { earliest: said.earliest - TRANSIT_ALLOWANCE, ..said };
+            self.gateways[to].limited.apply(told);
         }
     }
 
@@ -346,17 +346,17 @@
         gateway.life += 1;
         gateway.lives = true;
         gateway.frozen_until = Millis::ZERO;
-        gateway.limited = Limited::default();
+        gateway.limited = AdvertisedLimit::default();
         gateway.permits = Permits::new(now);
         gateway.asked = None;
         // It hears what others know before callers are sent to it.
         let known = (0..self.gateways.len()).find(|other| {
             *other != one
                 && self.reaches(*other, one, now)
-                && self.gateways[*other].limited.said().is_some()
+                && self.gateways[*other].limited.advertisement().is_some()
         });
-        if let Some(said) = known.and_then(|other| self.gateways[other].limited.said()) {
-            self.gateways[one].limited.hear(said);
+        if let Some(said) = known.and_then(|other| self.gateways[other].limited.advertisement()) {
+            self.gateways[one].limited.apply(said);
         }
     }
 }
--- a/crates/direct/src/crash_keeper.rs
+++ b/crates/direct/src/crash_keeper.rs
@@ -110,7 +110,7 @@
     let mut put: Vec<KeptCrashes> = gateway.crashes_to_keep();
     put.retain(|row| kept.get(&row.fingerprint) != Some(&row.crashes.len()));
     put.truncate(MOST_ROWS);
-    let worth = gateway.with_crashes(|crashes| crashes.worth_keeping(gateway.now()));
+    let worth = gateway.with_crashes(|crashes| crashes.repeat_suspects(gateway.now()));
     let gone = kept.keys().filter(|fingerprint| !worth.contains(fingerprint));
     let gone: Vec<Fingerprint> = gone.take(MOST_ROWS).copied().collect();
     if put.is_empty() && gone.is_empty() {
--- a/crates/direct/src/gateway/asked.rs
+++ b/crates/direct/src/gateway/asked.rs
@@ -1,9 +1,9 @@
 //! What backend servers ask in their answers, taken note of and kept.
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::asked;
 use hooktrestle_core::direct::outage;
 use hooktrestle_core::direct::pool::Server;
+use hooktrestle_core::direct::server_notices;
 use hooktrestle_core::util::arena::Key;
 use http::StatusCode;
 use http::header;
@@ -24,7 +24,7 @@
             return None;
         }
         let asked = headers::text(&head.headers, &header::RETRY_AFTER)?;
-        let span = asked::rest(asked)?;
+        let span = server_notices::parse_back_off(asked)?;
         let now = self.now();
         self.metrics.rests_asked.inc();
         let all_bound = self.with_pool(|pool| {
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::broken_off::BrokenOff;
 use hooktrestle_core::direct::crashes::Cleared;
 use hooktrestle_core::direct::crashes::Crash;
 use hooktrestle_core::direct::crashes::Crashes;
-use hooktrestle_core::direct::crashes::News;
+use hooktrestle_core::direct::crashes::MergeOutcome;
+use hooktrestle_core::direct::crashes::Quarantine;
 use hooktrestle_core::direct::crashes::Reporter;
-use hooktrestle_core::direct::crashes::ServerLife;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::crashes::Stage;
 use hooktrestle_core::direct::crashes::Suspect;
-use hooktrestle_core::direct::crashes::Trust;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
-use hooktrestle_core::direct::permits::Given;
+use hooktrestle_core::direct::permits::Grant;
 use hooktrestle_core::direct::pool::Server;
+use hooktrestle_core::direct::truncated_answers::TruncatedAnswers;
 use hooktrestle_core::util::arena::Key;
 use hooktrestle_schema::Cause;
 use tokio::time;
@@ -77,7 +77,7 @@
 /// A server at which answers broke off.
 #[derive(Debug)]
 struct Broken {
-    answers: BrokenOff,
+    answers: TruncatedAnswers,
     finding: Finding,
     /// Whether it is being found out.
     is_asked: bool,
@@ -115,10 +115,10 @@
     pub fn turns_away(&self, fingerprint: Fingerprint) -> Option<(Cause, Millis)> {
         let now = self.now();
         let crashes = self.crashes.borrow();
-        if let Some(left) = crashes.refuses(fingerprint, now) {
+        if let Some(left) = crashes.refused_for(fingerprint, now) {
             return Some((Cause::CrashesServers, left));
         }
-        let Trust::HeldBack(left) = crashes.trust(fingerprint, now) else { return None };
+        let Quarantine::HeldBack(left) = crashes.quarantine(fingerprint, now) else { return None };
         Some((Cause::CrashSuspect, left))
     }
 
@@ -134,7 +134,7 @@
         if let Some(turned_away) = self.turns_away(fingerprint) {
             return Err(turned_away);
         }
-        if self.crashes.borrow().trust(fingerprint, self.now()) != Trust::OneAtATime {
+        if self.crashes.borrow().quarantine(fingerprint, self.now()) != Quarantine::OneAtATime {
             return Ok(None);
         }
         if !self.found.borrow_mut().on_trial.insert(fingerprint) {
@@ -143,7 +143,7 @@
         let trial = Trial { gateway: self.clone(), fingerprint };
         // Where nobody answers, this gateway alone can be held to one at a time.
         match permits::ask(self, Wanted::Trial(fingerprint)).await {
-            Some(Given { permits: 0, again_in }) => Err((Cause::CrashSuspect, again_in)),
+            Some(Grant { permits: 0, retry_in }) => Err((Cause::CrashSuspect, retry_in)),
             Some(_) | None => Ok(Some(trial)),
         }
     }
@@ -167,9 +167,9 @@
         let suspect = progress.suspect(fingerprint, now);
         let (finding, is_asked) = {
             let mut found = self.found.borrow_mut();
-            found.broken.retain(|_, broken| !broken.answers.is_over(now));
+            found.broken.retain(|_, broken| !broken.answers.is_expired(now));
             let broken = found.broken.entry(server).or_insert_with(|| Broken {
-                answers: BrokenOff::default(),
+                answers: TruncatedAnswers::default(),
                 finding: Finding::Open,
                 is_asked: false,
             });
@@ -179,7 +179,7 @@
         if finding == Finding::Crashed {
             self.report(server);
         } else if suspect.stage == Stage::Starting
-            || self.with_crashes(|crashes| crashes.is_close(fingerprint, now))
+            || self.with_crashes(|crashes| crashes.is_one_crash_from_refusal(fingerprint, now))
         {
             self.find_out(server).await;
         } else if !is_asked {
@@ -218,7 +218,7 @@
             let (found, pool) = (self.found.borrow(), self.pool.borrow());
             let open = found.broken.iter().filter(|(key, broken)| {
                 let is_gone = !pool.is_present(**key) && !pool.server(**key).is_leaving();
-                is_gone && broken.finding == Finding::Open && !broken.answers.is_over(now)
+                is_gone && broken.finding == Finding::Open && !broken.answers.is_expired(now)
             });
             open.map(|(key, _)| *key).collect()
         };
@@ -240,7 +240,7 @@
         let (crashed_at, suspects) = {
             let mut found = self.found.borrow_mut();
             let Some(broken) = found.broken.get_mut(&server) else { return };
-            let (crashed_at, suspects) = broken.answers.crash();
+            let (crashed_at, suspects) = broken.answers.confirm_crash();
             found.own.extend(suspects.iter().map(|suspect| suspect.fingerprint));
             (crashed_at, suspects)
         };
@@ -251,7 +251,7 @@
             let listed = &pool.server(server).listed;
             let count = suspects.len();
             self.journal.state(format_args!("server {} crashed under {count} requests", listed.id));
-            ServerLife::of(&listed.id, listed.started_unix_ms)
+            ServerIncarnation::of(&listed.id, listed.started_unix_ms)
         });
         let age = self.now().since(crashed_at);
         let reporter = Reporter(self.with_members(|members| members.own().life().0));
@@ -263,14 +263,14 @@
         let mut found = self.found.borrow_mut();
         let broken = found.broken.get_mut(&server);
         if let Some(broken) = broken.filter(|broken| broken.finding == Finding::Open) {
-            broken.answers.lived(sent_at);
+            broken.answers.record_answer(sent_at);
         }
     }
 
     /// A request has had its whole answer.
     pub fn note_well(&self, fingerprint: Fingerprint) {
         let now = self.now();
-        let news = self.crashes.borrow_mut().ended_well(fingerprint, now);
+        let news = self.crashes.borrow_mut().record_completed(fingerprint, now);
         self.act_on(news, now);
     }
 
@@ -279,20 +279,20 @@
         let now = self.now();
         let news = {
             let mut known = self.crashes.borrow_mut();
-            let of_crashes = crashes.iter().map(|crash| known.take(crash, now)).max();
+            let of_crashes = crashes.iter().map(|crash| known.record(crash, now)).max();
             let of_cleared = cleared.iter().map(|one| known.clear(*one, now)).max();
             of_crashes.max(of_cleared)
         };
-        self.act_on(news.unwrap_or(News::Known), now);
+        self.act_on(news.unwrap_or(MergeOutcome::Unchanged), now);
     }
 
-    fn act_on(&self, news: News, now: Millis) {
-        if news == News::Known {
+    fn act_on(&self, news: MergeOutcome, now: Millis) {
+        if news == MergeOutcome::Unchanged {
             return;
         }
         self.tell_refused(now);
         self.crashes_changed.notify_one();
-        if news == News::Urgent {
+        if news == MergeOutcome::Urgent {
             self.hand_on(Reach::All);
         }
     }
@@ -326,12 +326,12 @@
     /// Forgets what is too old; returns what was at more than one crash, and at one here.
     pub fn crashes_to_keep(&self) -> Vec<KeptCrashes> {
         let now = self.now();
-        self.crashes.borrow_mut().forget(now);
+        self.crashes.borrow_mut().expire(now);
         self.tell_refused(now);
         let crashes = self.crashes.borrow();
-        let worth = crashes.worth_keeping(now);
+        let worth = crashes.repeat_suspects(now);
         let mut found = self.found.borrow_mut();
-        found.own.retain(|one| crashes.suspects(*one));
+        found.own.retain(|one| crashes.is_suspect(*one));
         let kept = found
             .own
             .intersection(&worth)
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -3,11 +3,11 @@
 use std::rc::Rc;
 
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::crashes::ServerLife;
-use hooktrestle_core::direct::named_limit::Heard;
-use hooktrestle_core::direct::named_limit::Permission;
-use hooktrestle_core::direct::named_limit::Rate;
-use hooktrestle_core::direct::named_limit::Said;
+use hooktrestle_core::direct::advertised_limit::LimitAdvertisement;
+use hooktrestle_core::direct::advertised_limit::LimitMergeOutcome;
+use hooktrestle_core::direct::advertised_limit::Permission;
+use hooktrestle_core::direct::advertised_limit::Rate;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::permits::Permits;
 use hooktrestle_core::direct::pool::Server;
 use hooktrestle_core::util::arena::Key;
@@ -52,35 +52,35 @@
         let limit = match named {
             Some(text) => {
                 self.metrics.limits_named.inc();
-                Some(Rate::named(text)?)
+                Some(Rate::from_text(text)?)
             }
             None if lifts && self.with_pool(|pool| pool.limit(server).is_some()) => None,
             None => return None,
         };
-        let said = Said { limit, earliest: sent_at, latest: self.now() };
+        let said = LimitAdvertisement { limit, earliest: sent_at, latest: self.now() };
         let heard = self.with_pool(|pool| pool.hear_limit(server, said));
         self.act_on_limit(heard);
-        if heard != Heard::Known {
+        if heard != LimitMergeOutcome::Unchanged {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
             self.journal.state(format_args!("server {id} takes {} a second", Told(limit)));
         }
-        named.filter(|_| heard != Heard::Known)
+        named.filter(|_| heard != LimitMergeOutcome::Unchanged)
     }
 
     /// Takes what another gateway tells of limits.
-    pub fn take_limits(&self, told: &[(ServerLife, Said)]) {
+    pub fn take_limits(&self, told: &[(ServerIncarnation, LimitAdvertisement)]) {
         let heard = self.with_pool(|pool| {
             told.iter().map(|(server, said)| pool.hear_limit_of(*server, *said)).max()
         });
-        self.act_on_limit(heard.unwrap_or(Heard::Known));
+        self.act_on_limit(heard.unwrap_or(LimitMergeOutcome::Unchanged));
     }
 
-    fn act_on_limit(&self, heard: Heard) {
-        if heard == Heard::Known {
+    fn act_on_limit(&self, heard: LimitMergeOutcome) {
+        if heard == LimitMergeOutcome::Unchanged {
             return;
         }
         self.limits_known.notify_one();
-        if heard == Heard::Urgent {
+        if heard == LimitMergeOutcome::Urgent {
             self.hand_on(Reach::All);
         }
     }
--- a/crates/direct/src/peers/news.rs
+++ b/crates/direct/src/peers/news.rs
@@ -4,11 +4,14 @@
 
 use bytes::Bytes;
 use hooktrestle_core::clock::Millis;
+use hooktrestle_core::direct::advertised_limit::LimitAdvertisement;
+use hooktrestle_core::direct::advertised_limit::Rate;
+use hooktrestle_core::direct::advertised_limit::TRANSIT_ALLOWANCE;
 use hooktrestle_core::direct::crashes::Cleared;
 use hooktrestle_core::direct::crashes::Crash;
+use hooktrestle_core::direct::crashes::CrashReportId;
 use hooktrestle_core::direct::crashes::Reporter;
-use hooktrestle_core::direct::crashes::ServerLife;
-use hooktrestle_core::direct::crashes::Sighting;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::crashes::Stage;
 use hooktrestle_core::direct::crashes::Suspect;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
@@ -17,9 +20,6 @@
 use hooktrestle_core::direct::members::Member;
 use hooktrestle_core::direct::members::Readiness;
 use hooktrestle_core::direct::members::Word;
-use hooktrestle_core::direct::named_limit::ON_THE_WAY;
-use hooktrestle_core::direct::named_limit::Rate;
-use hooktrestle_core::direct::named_limit::Said;
 use hooktrestle_core::direct::replica::Change;
 use hooktrestle_core::direct::replica::Revision;
 use hooktrestle_core::direct::replica::Update;
@@ -65,8 +65,8 @@
     let told = beats_of(asked, waited);
     let unknown = take_told(gateway, asked, &told, waited);
     let news = own_news(gateway, Some(asked));
-    let wanted: Vec<Sighting> = asked.crashes_wanted.iter().map(sighting).collect();
-    let crashes = gateway.with_crashes(|crashes| crashes.named(&wanted, now));
+    let wanted: Vec<CrashReportId> = asked.crashes_wanted.iter().map(sighting).collect();
+    let crashes = gateway.with_crashes(|crashes| crashes.reports_by_id(&wanted, now));
     let news = PeerNews { crashes: crashes.iter().map(crash_news).collect(), ..news };
     if told.is_empty() {
         return news;
@@ -99,7 +99,7 @@
 /// News with the crashes that are known, to one that knows others.
 fn with_known_crashes<P: Platform>(gateway: &Gateway<P>, news: PeerNews, now: Millis) -> PeerNews {
     let (known, cleared) =
-        gateway.with_crashes(|crashes| (crashes.known(now), crashes.cleared(now)));
+        gateway.with_crashes(|crashes| (crashes.report_digests(now), crashes.cleared(now)));
     PeerNews {
         crashes_known: known
             .iter()
@@ -133,8 +133,8 @@
     }
 }
 
-fn sighting(&[server, by]: &[u64; 2]) -> Sighting {
-    (ServerLife(server), Reporter(by))
+fn sighting(&[server, by]: &[u64; 2]) -> CrashReportId {
+    (ServerIncarnation(server), Reporter(by))
 }
 
 /// How far a request was, as gateways tell each other; those that know two stages take the last for the second.
@@ -172,7 +172,7 @@
         stage: stage_of(stage),
     });
     Crash {
-        server: ServerLife(news.server_number),
+        server: ServerIncarnation(news.server_number),
         reporter: Reporter(news.reporter_number),
         age: Millis(news.age_ms) + waited,
         suspects: suspects.collect(),
@@ -238,25 +238,32 @@
 /// Stands for no limit.
 const NO_LIMIT: u64 = u64::MAX;
 
-fn limit_news(server: ServerLife, said: &Said, now: Millis) -> [u64; 4] {
+fn limit_news(server: ServerIncarnation, said: &LimitAdvertisement, now: Millis) -> [u64; 4] {
     let limit = said.limit.map_or(NO_LIMIT, |limit| limit.in_1000_s);
     [server.0, limit, now.since(said.latest).0, now.since(said.earliest).0]
 }
 
 /// What a server said of its limit, as it is told.
-pub(crate) fn limits_of<P: Platform>(gateway: &Gateway<P>, server: ServerLife) -> Vec<[u64; 4]> {
+pub(crate) fn limits_of<P: Platform>(
+    gateway: &Gateway<P>,
+    server: ServerIncarnation,
+) -> Vec<[u64; 4]> {
     let now = gateway.now();
     let said = gateway.with_pool(|pool| pool.limit_said(server));
     said.iter().map(|said| limit_news(server, said, now)).collect()
 }
 
 /// What another gateway told of limits, in an answer that was waited for so long.
-pub(crate) fn limits_told(news: &PeerNews, now: Millis, waited: Millis) -> Vec<(ServerLife, Said)> {
+pub(crate) fn limits_told(
+    news: &PeerNews,
+    now: Millis,
+    waited: Millis,
+) -> Vec<(ServerIncarnation, LimitAdvertisement)> {
     let told = news.limits.iter().map(|&[server, in_1000_s, latest_ms, earliest_ms]| {
         let limit = (in_1000_s != NO_LIMIT).then_some(Rate { in_1000_s });
         let latest = now - Millis(latest_ms);
-        let earliest = now - (Millis(earliest_ms) + waited + ON_THE_WAY);
-        (ServerLife(server), Said { limit, earliest, latest })
+        let earliest = now - (Millis(earliest_ms) + waited + TRANSIT_ALLOWANCE);
+        (ServerIncarnation(server), LimitAdvertisement { limit, earliest, latest })
     });
     told.collect()
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -9,14 +9,14 @@
 use eyre::Result;
 use eyre::eyre;
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::crashes::ServerLife;
+use hooktrestle_core::direct::advertised_limit::ASK_TIMEOUT;
+use hooktrestle_core::direct::advertised_limit::Rate;
+use hooktrestle_core::direct::crashes::ServerIncarnation;
 use hooktrestle_core::direct::fingerprint::Fingerprint;
 use hooktrestle_core::direct::members::LifeId;
-use hooktrestle_core::direct::named_limit::ASK_TIMEOUT;
-use hooktrestle_core::direct::named_limit::Rate;
+use hooktrestle_core::direct::permits::DELEGATION_INTERVAL;
 use hooktrestle_core::direct::permits::GatewayId;
-use hooktrestle_core::direct::permits::Given;
-use hooktrestle_core::direct::permits::HAND_EVERY;
+use hooktrestle_core::direct::permits::Grant;
 use hooktrestle_core::util::hash;
 use hooktrestle_schema::PeerNews;
 use hooktrestle_schema::PermitsAsked;
@@ -57,7 +57,7 @@
     /// Nothing: the own part is handed over.
     Nothing,
     /// Requests to a server, so many, and what all gateways together send it while it comes back from a rest.
-    Requests(ServerLife, u32, Option<Rate>),
+    Requests(ServerIncarnation, u32, Option<Rate>),
     /// A trial of a request.
     Trial(Fingerprint),
 }
@@ -98,23 +98,23 @@
         while gateway.with_pool(|pool| pool.has_limits()) {
             // In vain where nobody can be asked.
             let _ = ask(&gateway, Wanted::Nothing).await;
-            time::sleep(Duration::from(HAND_EVERY)).await;
+            time::sleep(Duration::from(DELEGATION_INTERVAL)).await;
         }
         gateway.limits_known.notified().await;
     }
 }
 
 /// Asks for permits; `None` if there is no answer.
-pub async fn ask<P: Platform>(gateway: &Rc<Gateway<P>>, wanted: Wanted) -> Option<Given> {
+pub async fn ask<P: Platform>(gateway: &Rc<Gateway<P>>, wanted: Wanted) -> Option<Grant> {
     let giver = giver(gateway)?;
     let now = gateway.now();
     let own = GatewayId(gateway.with_members(|members| hash::of(&members.own().name)));
-    let hands_over = gateway.with_permits(|permits| permits.hand_over(giver.life, now));
+    let hands_over = gateway.with_permits(|permits| permits.delegate_share(giver.life, now));
     let asked = wanted.question(own, hands_over);
     if giver.is_own {
         return Some(give(gateway, &asked));
     }
-    let server = asked.server_number.map(ServerLife);
+    let server = asked.server_number.map(ServerIncarnation);
     let limits = server.map(|server| news::limits_of(gateway, server)).unwrap_or_default();
     let question = PeerNews { permits_asked: Some(asked), limits, ..news::empty() };
     let exchanged =
@@ -147,13 +147,13 @@
     gateway: &Rc<Gateway<P>>,
     at: SocketAddr,
     question: &PeerNews,
-) -> Result<Given> {
+) -> Result<Grant> {
     let asked_at = gateway.now();
     let over = async |kept| ask_over(kept, at, question).await;
     let answer = gateway.permit_givers.links.exchange(at, over).await?;
     gateway.take_limits(&news::limits_told(&answer, gateway.now(), gateway.now().since(asked_at)));
     let given = answer.permits_given.ok_or_else(|| eyre!("it knows no permits"))?;
-    Ok(Given { permits: given.permitted_requests, again_in: Millis(given.again_in_ms) })
+    Ok(Grant { permits: given.permitted_requests, retry_in: Millis(given.again_in_ms) })
 }
 
 async fn ask_over(
@@ -175,24 +175,24 @@
     let is_fresh = gateway.stood_still(READ_LATE).is_none();
     let hands_over = asked.hands_over && is_fresh;
     let given = give(gateway, &PermitsAsked { hands_over, ..asked.clone() });
-    let server = asked.server_number.map(ServerLife);
+    let server = asked.server_number.map(ServerIncarnation);
     PeerNews {
         limits: server.map(|server| news::limits_of(gateway, server)).unwrap_or_default(),
         permits_given: Some(PermitsGiven {
             permitted_requests: given.permits,
-            again_in_ms: given.again_in.0,
+            again_in_ms: given.retry_in.0,
         }),
         ..news::empty()
     }
 }
 
-fn give<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> Given {
+fn give<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> Grant {
     let now = gateway.now();
     let gateways = gateway.with_members(|members| members.all(now));
     let returning = asked.returning_requests.map(|in_1000_s| Rate { in_1000_s });
     // After a rest somebody has to find out whether the server takes requests.
     let first = if returning.is_some() { 1.0 } else { 0.0 };
-    let limit = asked.server_number.map(ServerLife).and_then(|server| {
+    let limit = asked.server_number.map(ServerIncarnation).and_then(|server| {
         let said = gateway.with_pool(|pool| pool.limit_said(server));
         (said.is_some() || returning.is_some()).then(|| {
             let named = said.and_then(|said| said.limit);
@@ -201,16 +201,18 @@
     });
     gateway.with_permits(|permits| {
         if asked.hands_over {
-            permits.take_part(GatewayId(asked.gateway_number), now);
+            permits.add_share(GatewayId(asked.gateway_number), now);
         }
         if let Some(request) = asked.trial_number {
-            return permits.try_again(Fingerprint(request), TRIAL, now);
+            return permits.grant_trial(Fingerprint(request), TRIAL, now);
         }
-        let Some((server, limit)) = limit else { return Given::default() };
+        let Some((server, limit)) = limit else { return Grant::default() };
         let given = match limit {
-            Some(limit) => permits.give(server, limit, asked.wanted_requests, first, gateways, now),
+            Some(limit) => {
+                permits.grant(server, limit, asked.wanted_requests, first, gateways, now)
+            }
             // It names none any more.
-            None => Given { permits: asked.wanted_requests, again_in: Millis::ZERO },
+            None => Grant { permits: asked.wanted_requests, retry_in: Millis::ZERO },
         };
         gateway.metrics.permits_given.inc_by(given.permits.into());
         given
--- a/crates/hooktrestled/src/sidecar/desk.rs
+++ b/crates/hooktrestled/src/sidecar/desk.rs
@@ -7,8 +7,8 @@
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::config::BackendServer;
 use hooktrestle_core::config::Config;
-use hooktrestle_core::direct::named_limit::Rate;
-use hooktrestle_core::direct::named_limit::Said;
+use hooktrestle_core::direct::advertised_limit::LimitAdvertisement;
+use hooktrestle_core::direct::advertised_limit::Rate;
 use hooktrestle_core::dispatch;
 use hooktrestle_core::dispatch::Arrival;
 use hooktrestle_core::dispatch::Cancelling;
@@ -114,7 +114,7 @@
 
 /// The backend server said how many requests it takes.
 #[derive(Debug)]
-pub(super) struct Limit(pub(super) Said);
+pub(super) struct Limit(pub(super) LimitAdvertisement);
 
 /// Something may be due.
 #[derive(Debug)]
@@ -252,7 +252,7 @@
             if limit.is_none() && !is_limited {
                 return;
             }
-            let said = Said { limit, earliest: sent_at, latest: clock.now() };
+            let said = LimitAdvertisement { limit, earliest: sent_at, latest: clock.now() };
             if let Some(desk) = told.and_then(|desk| desk.try_upgrade()) {
                 // A desk that has ended needs no limit.
                 let _ = desk.send(Limit(said)).await;
--- a/crates/hooktrestled/src/sidecar/run.rs
+++ b/crates/hooktrestled/src/sidecar/run.rs
@@ -8,8 +8,8 @@
 use futures_util::StreamExt;
 use futures_util::stream;
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::asked;
-use hooktrestle_core::direct::named_limit::Rate;
+use hooktrestle_core::direct::advertised_limit::Rate;
+use hooktrestle_core::direct::server_notices;
 use hooktrestle_core::verdict::Refusal;
 use hooktrestle_link::Sender;
 use hooktrestle_schema::BodyFrame;
@@ -147,7 +147,7 @@
         Err(_) => return RunEnd::Failed(Refusal::may_have_run(Cause::BackendFailed)),
     };
     let named = response.headers().get(LIMIT_HEADER).map(|value| value.to_str().unwrap_or(""));
-    match named.map(Rate::named) {
+    match named.map(Rate::from_text) {
         Some(Some(limit)) => tell(Some(limit)).await,
         // A text that is no number says nothing.
         Some(None) => {}
@@ -156,7 +156,7 @@
     }
     if response.headers().contains_key(NOT_RUN_HEADER) {
         let asked = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
-        let rest = asked.and_then(asked::rest);
+        let rest = asked.and_then(server_notices::parse_back_off);
         return RunEnd::NotStarted(Refusal::not_run(Cause::BackendRefused), rest);
     }
     answer(job, response).await
