--- a/crates/core/src/direct/pool/limits.rs
+++ b/crates/core/src/direct/pool/limits.rs
@@ -3,13 +3,13 @@
 use super::Pool;
 use super::Server;
 use crate::clock::Millis;
-use crate::direct::crashes::ServerLife;
-use crate::direct::named_limit::Heard;
-use crate::direct::named_limit::Limited;
-use crate::direct::named_limit::Permission;
-use crate::direct::named_limit::Rate;
-use crate::direct::named_limit::Said;
-use crate::direct::permits::Given;
+use crate::direct::advertised_limit::AdvertisedLimit;
+use crate::direct::advertised_limit::LimitAdvertisement;
+use crate::direct::advertised_limit::LimitMergeOutcome;
+use crate::direct::advertised_limit::Permission;
+use crate::direct::advertised_limit::Rate;
+use crate::direct::crashes::ServerIncarnation;
+use crate::direct::permits::Grant;
 use crate::util::arena::Key;
 
 /// Time after which nobody is told any more that a server names no limit.
@@ -17,24 +17,28 @@
 
 impl Pool {
     /// Takes what a server said of its limit.
-    pub fn merge_limit(&mut self, key: Key<Server>, said: Said) -> Heard {
+    pub fn merge_limit(&mut self, key: Key<Server>, said: LimitAdvertisement) -> LimitMergeOutcome {
         let limited = self.limits.entry(key).or_default();
-        limited.hear(said)
+        limited.apply(said)
     }
 
     /// The same of a server by its life; one that is not known is passed over.
-    pub fn merge_limit_of(&mut self, life: ServerLife, said: Said) -> Heard {
+    pub fn merge_limit_of(
+        &mut self,
+        life: ServerIncarnation,
+        said: LimitAdvertisement,
+    ) -> LimitMergeOutcome {
         match self.by_life.get(&life).copied() {
             Some(key) => self.merge_limit(key, said),
-            None => Heard::Known,
+            None => LimitMergeOutcome::Unchanged,
         }
     }
 
     /// What the listed servers have said of their limits, as far as others may not know.
-    pub fn advertised_limits(&self, now: Millis) -> Vec<(ServerLife, Said)> {
+    pub fn advertised_limits(&self, now: Millis) -> Vec<(ServerIncarnation, LimitAdvertisement)> {
         let listed = self.limits.iter().filter(|(key, _)| self.is_present(**key));
-        let said =
-            listed.filter_map(|(key, limited)| Some((self.incarnation(*key), limited.said()?)));
+        let said = listed
+            .filter_map(|(key, limited)| Some((self.incarnation(*key), limited.advertisement()?)));
         said.filter(|(_, said)| said.limit.is_some() || now.since(said.latest) < TOLD_FOR).collect()
     }
 
@@ -44,17 +48,17 @@
     }
 
     /// What a server has said of its limit.
-    pub fn advertised_limit(&self, life: ServerLife) -> Option<Said> {
-        self.limited(*self.by_life.get(&life)?).and_then(Limited::said)
+    pub fn advertised_limit(&self, life: ServerIncarnation) -> Option<LimitAdvertisement> {
+        self.limited(*self.by_life.get(&life)?).and_then(AdvertisedLimit::advertisement)
     }
 
     /// The limit that a server names, if it does.
     pub fn limit(&self, key: Key<Server>) -> Option<Rate> {
-        self.limited(key).and_then(Limited::limit)
+        self.limited(key).and_then(AdvertisedLimit::limit)
     }
 
     /// Stands for one life of a server.
-    pub fn incarnation(&self, key: Key<Server>) -> ServerLife {
+    pub fn incarnation(&self, key: Key<Server>) -> ServerIncarnation {
         self.servers[key].life
     }
 
@@ -68,13 +72,13 @@
 
     /// What all gateways together send a server, while it comes back from a rest.
     pub fn ramp_up_rate(&self, key: Key<Server>, now: Millis) -> Option<Rate> {
-        self.servers[key].asked.returning(now)
+        self.servers[key].asked.ramp_up_rate(now)
     }
 
     /// Takes the answer to one who asked for permits.
-    pub fn record_grant(&mut self, key: Key<Server>, given: Given, asked_at: Millis, now: Millis) {
+    pub fn record_grant(&mut self, key: Key<Server>, given: Grant, asked_at: Millis, now: Millis) {
         if let Some(limited) = self.limits.get_mut(&key) {
-            limited.given(given.permits, given.again_in, asked_at, now);
+            limited.apply_grant(given.permits, given.retry_in, asked_at, now);
         }
     }
 
@@ -88,7 +92,7 @@
         let servers = &self.services.get(service)?.servers;
         let fit =
             servers.iter().filter(|key| self.servers[**key].is_fit(now) && !tried.contains(key));
-        fit.filter_map(|key| self.limited(*key).map(Limited::next_at)).min()
+        fit.filter_map(|key| self.limited(*key).map(AdvertisedLimit::may_open_at)).min()
     }
 
     /// A server that was chosen is sent nothing: its turn is given back.
@@ -101,12 +105,12 @@
 
     /// Until when a server is sent nothing, by what it asked: it rests, or there is no permit.
     pub(super) fn unavailable_until(&self, key: Key<Server>, now: Millis) -> Option<Millis> {
-        let rests = self.servers[key].asked.rests_until(now);
-        let lacks = self.limited(key).and_then(|limited| limited.bound_until(now));
+        let rests = self.servers[key].asked.backing_off_until(now);
+        let lacks = self.limited(key).and_then(|limited| limited.blocked_until(now));
         rests.max(lacks)
     }
 
-    fn limited(&self, key: Key<Server>) -> Option<&Limited> {
+    fn limited(&self, key: Key<Server>) -> Option<&AdvertisedLimit> {
         self.limits.get(&key)
     }
 }
