--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,24 +1,25 @@
-//! Time in milliseconds.
+//! Time in milliseconds on the monotonic clock of one process.
+//! Input: durations, and the time from a [`Clock`]. There is no state.
 //!
-//! The core never reads a clock: callers pass `now` in. Times of two processes are never
-//! compared; what crosses a link is a duration, or a time of the receiver's own clock.
+//! This crate never reads a clock: its callers pass `now`. Times of two processes are never
+//! compared. Messages contain durations, or times of the receiver's own clock.
 
 use std::fmt;
 use std::ops::Add;
 use std::ops::Sub;
 use std::time::Duration;
 
-/// A moment, or a span, on one process's monotonic clock.
+/// A time or a duration on one process's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The clock's start, and the empty span.
+    /// The start of the clock, and the zero duration.
     pub const ZERO: Millis = Millis(0);
-    /// Later than any moment that occurs.
+    /// Later than any time that occurs.
     pub const MAX: Millis = Millis(u64::MAX);
 
-    /// The span since `earlier`; zero if `earlier` is later.
+    /// The duration since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -42,7 +43,7 @@
 }
 
 impl From<Duration> for Millis {
-    /// Cut to whole milliseconds; saturates.
+    /// Truncates to whole milliseconds; saturates.
     fn from(span: Duration) -> Millis {
         Millis(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
     }
@@ -60,8 +61,8 @@
     }
 }
 
-/// Where a process gets `now` from.
+/// A source of the current time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The present moment; never goes back.
+    /// The current time; never decreases.
     fn now(&self) -> Millis;
 }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,16 +1,18 @@
-//! Small `Copy` names for what crosses process boundaries.
+//! Identifiers that cross process boundaries, as small `Copy` types.
+//! Input: identifiers of messages. State: the number of the next request of a gateway.
+//! Decides the number of each new request.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use hooktrestle_schema as schema;
 
-/// A request as its gateway numbers it, with the attempt; unique within one incarnation.
+/// The number of a request and of its attempt; unique within one incarnation of the gateway.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestId {
-    /// Counts up over the gateway's life.
+    /// Increases during the gateway's incarnation.
     pub number: u64,
-    /// Counts from 0; a later attempt replaces all earlier ones.
+    /// Starts at 0; a later attempt replaces all earlier ones.
     pub attempt: u32,
 }
 
@@ -26,12 +28,12 @@
     }
 }
 
-/// Gives out the numbers of one incarnation's requests.
+/// Allocates the request numbers of one incarnation.
 #[derive(Debug, Default)]
 pub struct RequestNumbers(AtomicU64);
 
 impl RequestNumbers {
-    /// The next number; never the same one twice.
+    /// The next number; each number is returned once.
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,7 +30,7 @@
 //! - [`acceptance`]: edited rows to the next configuration.
 //! - [`config`]: the configuration in force.
 //! - [`verdict`]: whether a request may have run.
-//! - [`suspension`]: when the process stood still.
+//! - [`suspension`]: whether the process was suspended.
 //! - [`clock`], [`id`], [`util`]: time, names, arenas.
 
 pub mod acceptance;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,15 +1,18 @@
-//! A budget for retries, so that failures do not multiply load.
+//! The retry budget of a gateway with sidecars, so that failures don't multiply load.
+//! Input: first attempts and retries. State: the number of retries saved.
+//! Decides whether a retry is allowed.
 //!
-//! Each first attempt earns a fraction of a retry. Chosen over a fixed number of retries a request:
-//! when everything fails, that multiplies the load just when there is least room for it; the
-//! budget caps the extra load at [`Config::percent`], whatever the failures.
+//! Each first attempt earns a fraction of a retry. A fixed number of retries per request would
+//! multiply the load when every request fails and capacity is lowest. The budget limits the
+//! additional load to [`Config::percent`], independent of the number of failures. The budget of
+//! [`direct::budget`](crate::direct::budget) is for gateways that send to servers directly.
 
 /// Limits of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Retries earned by a hundred first attempts.
+    /// Retries earned by 100 first attempts.
     pub percent: u32,
-    /// Most retries saved up, so that a quiet gateway can still retry.
+    /// Maximum number of saved retries, so that a gateway with few requests can still retry.
     pub max_saved: u32,
 }
 
@@ -33,7 +36,7 @@
         RetryBudget { config, saved: config.max_saved * 100 }
     }
 
-    /// A first attempt has been made.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + self.config.percent).min(self.config.max_saved * 100);
     }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -1,21 +1,23 @@
-//! Who links to whom: a full mesh of gateways and sidecars would not fit a node's share of control.
+//! Selects the subset of instances to which an instance has links.
+//! Input: the name of the subject and the list of instances. There is no state.
+//! Decides which instances the subject is linked to, by rendezvous hashing.
 //!
-//! Each gateway keeps links to some of a service's backend servers, and callers of a service are
-//! given some of the gateways. Both are chosen by rendezvous hashing, which needs no agreement: an
-//! instance that goes or comes changes only the choices that it was or becomes part of. Weighed
-//! against it: deterministic subsetting, which is perfectly even but moves many links with each
-//! change of the lists, and those lists lag and differ.
+//! A full mesh of gateways and sidecars would exceed a node's share of control traffic. Each
+//! gateway has links to some of a service's backend servers, and callers of a service get some of
+//! the gateways. Rendezvous hashing needs no coordination: an instance that is removed or added
+//! changes only the subsets that contain it. Deterministic subsetting is perfectly even, but moves
+//! many links with each change of the lists, and the lists of the processes lag and differ.
 
 use crate::util::hash;
 
-/// Backend servers of one service that a gateway links to.
+/// Number of backend servers of one service to which a gateway has links.
 pub const SERVERS_PER_GATEWAY: usize = 16;
 
-/// Gateways that callers of one service are given.
+/// Number of gateways that callers of one service get.
 pub const GATEWAYS_PER_SERVICE: usize = 24;
 
-/// Out of so many chosen servers, one is taken wherever it stands, so that the loss of a data
-/// centre leaves links that work.
+/// One of this many chosen instances is chosen regardless of its data centre, so that working links
+/// remain after the loss of a data centre.
 const ANY_CENTRE_ONE_IN: usize = 3;
 
 /// An instance to choose from.
@@ -23,14 +25,14 @@
 pub struct Instance<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Whether it stands in the chooser's own data centre.
+    /// Whether it is in the same data centre as the subject.
     pub is_local: bool,
 }
 
-/// Chooses up to `most` of the instances for `subject`, by index. Most of them are near, if there
-/// are enough near ones; all are taken if there are no more than `most`.
-pub fn choose(subject: &str, instances: &[Instance<'_>], most: usize) -> Vec<usize> {
-    if instances.len() <= most {
+/// Chooses up to `max` of the instances for `subject`, by index. Most of them are local, if there
+/// are enough local ones. All are chosen if there are no more than `max`.
+pub fn choose(subject: &str, instances: &[Instance<'_>], max: usize) -> Vec<usize> {
+    if instances.len() <= max {
         return (0..instances.len()).collect();
     }
     let subject = hash::of(subject);
@@ -40,11 +42,11 @@
         .map(|(index, instance)| (hash::score(subject, instance.name), index))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let near_wanted = most - most / ANY_CENTRE_ONE_IN;
-    let near = ranked.iter().filter(|(_, index)| instances[*index].is_local);
-    let mut chosen: Vec<usize> = near.take(near_wanted).map(|(_, index)| *index).collect();
+    let local_target = max - max / ANY_CENTRE_ONE_IN;
+    let local = ranked.iter().filter(|(_, index)| instances[*index].is_local);
+    let mut chosen: Vec<usize> = local.take(local_target).map(|(_, index)| *index).collect();
     for (_, index) in ranked {
-        if chosen.len() == most {
+        if chosen.len() == max {
             break;
         }
         if !chosen.contains(&index) {
--- a/crates/core/src/suspension.rs
+++ b/crates/core/src/suspension.rs
@@ -1,36 +1,40 @@
-//! Whether this process stood still: paused, suspended with its machine, or without a processor.
+//! Detects that this process was suspended: paused, suspended with its machine, or without a CPU.
+//! Input: the times at which the process reads its clock. State: the last suspension.
+//! Decides whether a suspension has ended recently, and how long it lasted.
 //!
-//! Nobody tells it. It finds out by its clock, which it reads all the time: between two readings lies
-//! hardly a second. What it knew before is old then, what waits to be read is as old as that at most, and
-//! that others were silent meanwhile says nothing of them.
+//! The process gets no notice of a suspension. It reads its clock at intervals of less than about a
+//! second, so a much longer gap is a suspension. After one, the state of the process is outdated by
+//! its length, pending input is at most that old, and missing messages from other processes don't
+//! show that these have failed.
 
 use crate::clock::Millis;
 
-/// Shortest time between two readings that counts as a standstill. A gateway reads its clock at each round of
-/// news, each 0.6 s at the latest, and others wait 3 s for a heartbeat before they miss it.
+/// Shortest gap between two clock readings that counts as a suspension. A gateway reads its clock
+/// in each gossip round, at intervals of at most 0.6 s, and other gateways miss its heartbeat after
+/// 3 s.
 pub const MIN_SUSPENSION: Millis = Millis(2_000);
 
-/// When a process stood still last.
+/// The last suspension of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuspensionDetector {
-    read_at: Millis,
-    lasted: Millis,
+    last_reading_at: Millis,
+    duration: Millis,
     ended_at: Option<Millis>,
 }
 
 impl SuspensionDetector {
-    /// The clock was read.
+    /// Records a clock reading.
     pub fn observe_clock(&mut self, now: Millis) {
-        let gap = now.since(self.read_at);
-        if self.read_at > Millis::ZERO && gap >= MIN_SUSPENSION {
-            self.lasted = gap;
+        let gap = now.since(self.last_reading_at);
+        if self.last_reading_at > Millis::ZERO && gap >= MIN_SUSPENSION {
+            self.duration = gap;
             self.ended_at = Some(now);
         }
-        self.read_at = now;
+        self.last_reading_at = now;
     }
 
-    /// How long the standstill lasted that ended less than `within` ago, if there was one.
+    /// Length of the last suspension, if it ended less than `within` ago.
     pub fn ended_within(&self, within: Millis, now: Millis) -> Option<Millis> {
-        self.ended_at.filter(|ended_at| now.since(*ended_at) < within).map(|_| self.lasted)
+        self.ended_at.filter(|ended_at| now.since(*ended_at) < within).map(|_| self.duration)
     }
 }
--- a/crates/core/src/util.rs
+++ b/crates/core/src/util.rs
@@ -1,4 +1,4 @@
-//! Shared primitives.
+//! Shared primitives: arenas and hashing.
 
 pub mod arena;
 pub mod hash;
--- a/crates/core/src/util/arena.rs
+++ b/crates/core/src/util/arena.rs
@@ -1,31 +1,32 @@
-//! Arenas with small `Copy` keys.
+//! Arenas: append-only storage of records with small `Copy` keys.
+//! Input: records. State: the records in the order in which they were added.
 //!
-//! Records refer to each other by key, never by reference or name: keys are four bytes, hash
-//! fast, and let one event carry everything it needs without allocating.
+//! Records refer to each other by key, never by reference or name. Keys have four bytes and hash
+//! fast, so one event can contain all its references without an allocation.
 
 use std::fmt;
 use std::hash::Hash;
 use std::hash::Hasher;
 use std::marker::PhantomData;
 
-/// Place of a `T` in its [`Arena`].
+/// Index of a `T` in its [`Arena`].
 pub struct Key<T> {
     index: u32,
     of: PhantomData<fn() -> T>,
 }
 
 impl<T> Key<T> {
-    /// The key with this index; meaningful only to the arena that gave it out.
+    /// The key with this index; valid only for the arena that returned it.
     pub fn from_index(index: u32) -> Key<T> {
         Key { index, of: PhantomData }
     }
 
-    /// The same as a number, for logs.
+    /// The index as a `u32`, for logs.
     pub fn number(self) -> u32 {
         self.index
     }
 
-    /// The index behind the key.
+    /// The index as a `usize`.
     pub fn index(self) -> usize {
         self.index as usize
     }
@@ -71,7 +72,7 @@
     }
 }
 
-/// Records that are only ever added.
+/// Records that can be added and changed, but not removed.
 #[derive(Clone, Debug)]
 pub struct Arena<T> {
     records: Vec<T>,
@@ -88,19 +89,19 @@
     ///
     /// # Panics
     ///
-    /// Past `u32::MAX` records, which no caller's input can reach.
+    /// Panics above `u32::MAX` records; no input of a caller can reach that number.
     pub fn push(&mut self, record: T) -> Key<T> {
         let index = u32::try_from(self.records.len()).expect("fewer than u32::MAX records");
         self.records.push(record);
         Key::from_index(index)
     }
 
-    /// How many records there are.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -113,7 +114,7 @@
             .map(|(index, record)| (Key::from_index(index as u32), record))
     }
 
-    /// All records, to be changed, with their keys.
+    /// All records with their keys, mutable.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (Key<T>, &mut T)> {
         let records = self.records.iter_mut().enumerate();
         records.map(|(index, record)| (Key::from_index(index as u32), record))
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,4 +1,6 @@
-//! Whether a request may have run: the fact that every refusal and failure carries.
+//! Refusals and failures of requests, with the verdict whether the request may have run.
+//! Input: verdict, cause and retry time. There is no state.
+//! Decides the HTTP status and the body that callers get.
 
 use hooktrestle_schema::Cause;
 use hooktrestle_schema::ProblemBody;
@@ -6,14 +8,14 @@
 
 use crate::clock::Millis;
 
-/// Why a request got no whole answer.
+/// Why a request got no complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Whether it may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// The cause of the refusal or failure.
     pub cause: Cause,
-    /// When to come back, where that helps.
+    /// Time after which a retry is useful, if any.
     pub retry_after: Option<Millis>,
 }
 
@@ -23,7 +25,7 @@
         Refusal { verdict: Verdict::NotRun, cause, retry_after: None }
     }
 
-    /// A failure after which nobody can say whether the request ran.
+    /// A failure after which it is unknown whether the request ran.
     pub fn may_have_run(cause: Cause) -> Refusal {
         Refusal { verdict: Verdict::MayHaveRun, cause, retry_after: None }
     }
@@ -33,7 +35,7 @@
         Refusal { verdict: Verdict::Ran, cause, retry_after: None }
     }
 
-    /// The same, with the time to come back after.
+    /// The refusal with a retry time.
     pub fn retry_after(self, span: Millis) -> Refusal {
         Refusal { retry_after: Some(span), ..self }
     }
@@ -72,7 +74,7 @@
     }
 }
 
-/// Of two accounts of one request, the one that admits more.
+/// The worse of two verdicts on one request: ran, then may have run, then not run.
 pub fn worst(a: Verdict, b: Verdict) -> Verdict {
     match (a, b) {
         (Verdict::NotRun, other) | (other, Verdict::NotRun) => other,
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,8 @@
-//! How many streams are admitted, by how long passes take.
+//! Admission control of streams, by the lengths of passes.
+//!
+//! Guards against a service that admits more streams than its groups can serve within the latency
+//! objective, so that all of them are late, and against refusals where the number of streams is not
+//! the cause of long passes.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::admission::Admission;
@@ -9,13 +13,13 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const OWED: LatencyObjective = LatencyObjective { pause_ms: 120.0, min_pass_ms: 18.0 };
+const OBJECTIVE: LatencyObjective = LatencyObjective { pause_ms: 120.0, min_pass_ms: 18.0 };
 
-/// Time until the first event is due, well above what it takes.
+/// Time until the first event is due, well above the 200 ms that it takes.
 const LEFT_MS: f64 = 500.0;
 
-/// Streams that take 2 s, with passes of this length.
-fn seen(streams: usize, pass_ms: f64) -> Admission {
+/// An admission state with this many open streams of 2 s and passes of this length.
+fn observed(streams: usize, pass_ms: f64) -> Admission {
     let mut admission = Admission::new(Config::default());
     for _ in 0..30 {
         admission.began();
@@ -33,26 +37,26 @@
 
 #[test]
 fn short_passes_admit_more_streams() {
-    let mut admission = seen(16, 60.0);
-    assert_eq!(admission.decide(OWED, LEFT_MS, 0.7, NOW), Decision::Admitted);
-    // As many as make passes of 120 ms, if each adds as much as the present ones.
-    let limit = admission.limit(OWED, NOW).expect("passes were seen");
+    let mut admission = observed(16, 60.0);
+    assert_eq!(admission.decide(OBJECTIVE, LEFT_MS, 0.7, NOW), Decision::Admitted);
+    // As many streams as result in passes of 120 ms, if each one adds as much as the open ones.
+    let limit = admission.limit(OBJECTIVE, NOW).expect("passes were observed");
     assert!((limit - 16.0 * 102.0 / 42.0).abs() < 0.1, "{limit}");
 }
 
 #[test]
 fn streams_beyond_what_passes_bear_are_sent_away_one_after_the_other() {
-    let mut admission = seen(20, 150.0);
-    let mut told = Vec::new();
+    let mut admission = observed(20, 150.0);
+    let mut retry_times = Vec::new();
     for _ in 0..4 {
-        match admission.decide(OWED, LEFT_MS, 0.8, NOW) {
-            Decision::Refused(after) => told.push(after),
+        match admission.decide(OBJECTIVE, LEFT_MS, 0.8, NOW) {
+            Decision::Refused(after) => retry_times.push(after),
             other => panic!("{other:?}"),
         }
     }
-    assert!(told.windows(2).all(|pair| pair[0] < pair[1]), "{told:?}");
+    assert!(retry_times.windows(2).all(|pair| pair[0] < pair[1]), "{retry_times:?}");
     for _ in 0..100 {
-        if let Decision::Refused(after) = admission.decide(OWED, LEFT_MS, 0.8, NOW) {
+        if let Decision::Refused(after) = admission.decide(OBJECTIVE, LEFT_MS, 0.8, NOW) {
             assert!(after <= Config::default().max_retry_after);
         }
     }
@@ -60,47 +64,47 @@
 
 #[test]
 fn a_request_whose_turn_comes_in_time_waits() {
-    let mut admission = seen(20, 122.0);
-    assert_eq!(admission.decide(OWED, LEFT_MS, 0.8, NOW), Decision::Waits);
-    assert!(!admission.has_room(OWED, NOW));
+    let mut admission = observed(20, 122.0);
+    assert_eq!(admission.decide(OBJECTIVE, LEFT_MS, 0.8, NOW), Decision::Waits);
+    assert!(!admission.has_room(OBJECTIVE, NOW));
     admission.ended(Some(2_000.0));
     admission.ended(Some(2_000.0));
-    assert!(admission.has_room(OWED, NOW));
-    assert!(matches!(seen(20, 122.0).decide(OWED, 210.0, 0.8, NOW), Decision::Refused(_)));
+    assert!(admission.has_room(OBJECTIVE, NOW));
+    assert!(matches!(observed(20, 122.0).decide(OBJECTIVE, 210.0, 0.8, NOW), Decision::Refused(_)));
 }
 
 #[test]
 fn nothing_is_refused_where_it_is_not_the_streams_that_make_passes_long() {
-    let few = seen(20, 150.0).decide(OWED, LEFT_MS, 0.4, NOW);
+    let few = observed(20, 150.0).decide(OBJECTIVE, LEFT_MS, 0.4, NOW);
     assert_eq!(few, Decision::Admitted, "most slots are free");
-    let slow_rank = seen(20, 900.0).decide(OWED, LEFT_MS, 0.9, NOW);
+    let slow_rank = observed(20, 900.0).decide(OBJECTIVE, LEFT_MS, 0.9, NOW);
     assert_eq!(
         slow_rank,
         Decision::Admitted,
         "passes would be too long with a tenth of the streams"
     );
-    let unknown = Admission::new(Config::default()).decide(OWED, LEFT_MS, 0.9, NOW);
-    assert_eq!(unknown, Decision::Admitted, "no pass was seen");
-    let old = seen(20, 150.0).decide(OWED, LEFT_MS, 0.9, Millis(9_000));
-    assert_eq!(old, Decision::Admitted, "the last pass was seen long ago");
+    let unknown = Admission::new(Config::default()).decide(OBJECTIVE, LEFT_MS, 0.9, NOW);
+    assert_eq!(unknown, Decision::Admitted, "no pass was observed");
+    let old = observed(20, 150.0).decide(OBJECTIVE, LEFT_MS, 0.9, Millis(9_000));
+    assert_eq!(old, Decision::Admitted, "the last pass is too old");
 }
 
-/// A group in lock-step whose passes take 18 ms and 5 ms for each stream, with streams of 20 passes that
-/// come at this rate for 20 s; returns the part of all requests that is answered with no pause above
-/// 120 ms.
-fn in_time(each_s: f64, admits: bool) -> f64 {
+/// Simulates a group whose passes take 18 ms plus 5 ms for each stream, and streams of 20 passes
+/// that arrive at this rate for 20 s. Returns the fraction of all requests that are answered
+/// without a pause above 120 ms.
+fn fraction_in_time(per_s: f64, admits: bool) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut admission = Admission::new(Config::default());
-    // Passes left, whether all were short, and when each stream began.
+    // Remaining passes of each stream, whether all its passes were short, and its start.
     let mut streams: Vec<(u32, bool, f64)> = Vec::new();
     let (mut now_ms, mut next_ms) = (0.0, 0.0);
     let (mut asked, mut good) = (0_u32, 0_u32);
     while now_ms < 20_000.0 {
         while next_ms <= now_ms {
-            next_ms += -1_000.0 / each_s * rng.random::<f64>().max(1e-9).ln();
+            next_ms += -1_000.0 / per_s * rng.random::<f64>().max(1e-9).ln();
             asked += 1;
-            let entry = admission.decide(OWED, LEFT_MS, 0.9, Millis(now_ms as u64));
-            if !admits || entry == Decision::Admitted {
+            let decision = admission.decide(OBJECTIVE, LEFT_MS, 0.9, Millis(now_ms as u64));
+            if !admits || decision == Decision::Admitted {
                 admission.began();
                 streams.push((20, true, now_ms));
             }
@@ -109,7 +113,7 @@
         now_ms += pass_ms;
         for (left, short, since) in &mut streams {
             *left -= 1;
-            *short &= pass_ms <= OWED.pause_ms;
+            *short &= pass_ms <= OBJECTIVE.pause_ms;
             admission.record_pass(pass_ms, Millis(now_ms as u64));
             if *left == 0 {
                 admission.ended(Some(now_ms - *since));
@@ -123,9 +127,10 @@
 
 #[test]
 fn a_group_that_would_collapse_serves_what_it_can_in_time() {
-    // Each pass adds to the streams that run: twelve a second are more than such a group ever catches up on.
-    assert!(in_time(5.0, false) > 0.95, "{}", in_time(5.0, false));
-    assert!(in_time(12.0, false) < 0.1, "{}", in_time(12.0, false));
-    assert!(in_time(5.0, true) > 0.95, "{}", in_time(5.0, true));
-    assert!(in_time(12.0, true) > 0.5, "{}", in_time(12.0, true));
+    // Streams that arrive during a pass make the next one longer. With twelve per second the group
+    // never catches up.
+    assert!(fraction_in_time(5.0, false) > 0.95, "{}", fraction_in_time(5.0, false));
+    assert!(fraction_in_time(12.0, false) < 0.1, "{}", fraction_in_time(12.0, false));
+    assert!(fraction_in_time(5.0, true) > 0.95, "{}", fraction_in_time(5.0, true));
+    assert!(fraction_in_time(12.0, true) > 0.5, "{}", fraction_in_time(12.0, true));
 }
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -1,4 +1,8 @@
-//! What a gateway decides about requests: servers, attempts, repeats, streams, and where experts go.
+//! Decisions of a gateway on requests: servers, attempts, retries, streams and expert placement.
+//!
+//! Guards against requests to servers that are gone, a second run of a request that must run once,
+//! a verdict "not run" for a request that ran, more retries than the operators allow, and streams
+//! with missing or duplicate events.
 
 mod support;
 
@@ -92,7 +96,7 @@
     let mut pool = Pool::new(pool::Config::default());
     pool.list(listed("dead", 1_000, false), 3);
     pool.list(listed("new", 1_000, false), 9);
-    // Its row changes once more, late.
+    // The row of the dead server changes again, after the new server was listed.
     pool.list(listed("dead", 1_000, true), 12);
     assert_eq!(chosen(&mut pool, &[], 0).as_deref(), Some("new"));
 }
@@ -100,7 +104,7 @@
 #[test]
 fn whoever_answers_at_an_address_has_it_whatever_the_list_says() {
     let mut pool = Pool::new(pool::Config::default());
-    // Read whole after a restart: the row of the dead one changed last.
+    // The table is read after a restart: the row of the dead server changed last.
     pool.list(listed("new", 1_000, false), 9);
     pool.list(listed("dead", 1_000, false), 12);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -122,36 +126,36 @@
     assert_eq!(pool.server(key).listed.address.port(), 7_000);
 }
 
-/// A server may start again under the name that it had. What was found of the life before says nothing
-/// of this one, and what is told of it later changes nothing.
+/// A server may restart under its previous id. The state of the earlier incarnation does not apply
+/// to the new one, and later reports on the earlier incarnation change nothing.
 #[test]
 fn a_server_that_is_born_anew_under_its_name_is_another_server() {
     let mut pool = Pool::new(pool::Config::default());
-    let life =
+    let incarnation =
         |born, leaving| ListedServer { started_unix_ms: Some(born), ..listed("s", 1_000, leaving) };
-    pool.list(life(500, false), 1);
+    pool.list(incarnation(500, false), 1);
     let first = pool.present_of("hints")[0];
     pool.record_load(first, 4, 9, Millis(10));
     pool.set_stalled(first, true);
     pool.ended(first, AttemptOutcome::Unreachable, Millis(10));
     assert_eq!(chosen(&mut pool, &[], 11), None);
-    pool.list(life(600, false), 2);
+    pool.list(incarnation(600, false), 2);
     let second = pool.present_of("hints")[0];
-    assert_ne!(first, second, "nothing that is kept by its key is taken over");
+    assert_ne!(first, second, "nothing that is stored by its key is reused");
     assert!(!pool.is_present(first));
     assert_eq!(chosen(&mut pool, &[], 12).as_deref(), Some("s"));
-    pool.list(life(500, true), 3);
+    pool.list(incarnation(500, true), 3);
     assert_eq!(
         chosen(&mut pool, &[], 13).as_deref(),
         Some("s"),
-        "an older life leaves, not this one"
+        "an older incarnation leaves, not this one"
     );
     pool.ended(first, AttemptOutcome::Unreachable, Millis(14));
     assert_eq!(pool.present_of("hints"), vec![second]);
     assert_eq!(
         chosen(&mut pool, &[], 15).as_deref(),
         Some("s"),
-        "an attempt at the older life ended"
+        "an attempt at the older incarnation ended"
     );
 }
 
@@ -175,9 +179,9 @@
         assert_eq!(chosen(&mut pool, &[], 100).as_deref(), Some(other));
     }
     pool.unlist(other);
-    assert!(chosen(&mut pool, &[], 100).is_some(), "resting is better than refusing");
+    assert!(chosen(&mut pool, &[], 100).is_some(), "a server in cooldown is better than a refusal");
     pool.set_stalled(key, true);
-    assert_eq!(chosen(&mut pool, &[], 100), None, "a group that stands still refuses");
+    assert_eq!(chosen(&mut pool, &[], 100), None, "a stalled group refuses");
 }
 
 fn key() -> Key<Server> {
@@ -241,7 +245,8 @@
     let id = pool.server(held).listed.id.clone();
     let port = pool.server(held).listed.address.port();
     pool.unlist(&id);
-    // It ends while it is not listed; whoever stands in its place now has nothing to do with it.
+    // The attempt ends while the server is not listed. Its outcome must not affect the server that
+    // now has its index.
     pool.ended(held, AttemptOutcome::Unreachable, Millis(0));
     pool.list(listed(&id, port, false), 5);
     assert_eq!(pool.present_of("hints").len(), 3);
@@ -260,7 +265,7 @@
     }
     let b = pool.present_of("hints")[1];
     assert_eq!(chosen(&mut pool, &[b], 0).as_deref(), Some("a"));
-    // Found again it stays slow; otherwise the finding wears off.
+    // A server stays slow if a further report contains it; otherwise the report expires.
     pool.set_slow("hints", &slow(&["a", "b"]), Millis::ZERO, Millis(3_000));
     assert!(chosen(&mut pool, &[], 4_500).is_some(), "both are slow");
     pool.set_slow("hints", &slow(&["b"]), Millis::ZERO, Millis(5_000));
@@ -280,30 +285,30 @@
     let mut take =
         |service, fence, number| findings.take(service, &finding(fence, number, 0), Millis::ZERO);
     assert!(take("hints", 2, 5));
-    assert!(!take("hints", 2, 5), "told again by another gateway");
+    assert!(!take("hints", 2, 5), "received again from another gateway");
     assert!(!take("hints", 1, 9), "of a leader that was replaced");
     assert!(take("hints", 3, 1));
     assert!(take("notes", 1, 1), "each service by itself");
 }
 
-/// Findings were told for ever, and without their age: a gateway that started long after a leader had
-/// gone left servers alone that had been slow once.
+/// Guards against slow-server reports that are gossiped without end and without their age. A
+/// gateway that starts long after the last report would then avoid servers that are no longer slow.
 #[test]
 fn a_finding_is_as_old_as_it_was_told_and_is_told_no_more_once_it_holds_no_more() {
     let mut findings = Findings::default();
     assert!(findings.take("hints", &finding(2, 5, 3_000), Millis(0)));
-    let told: Vec<Finding> = findings.all(Millis(900)).map(|(_, finding)| finding).collect();
-    assert_eq!(told, [finding(2, 5, 3_900)]);
+    let reports: Vec<Finding> = findings.all(Millis(900)).map(|(_, finding)| finding).collect();
+    assert_eq!(reports, [finding(2, 5, 3_900)]);
     assert_eq!(findings.all(Millis(1_000)).count(), 0);
-    let mut begun = Findings::default();
-    assert!(!begun.take("hints", &finding(2, 5, 4_000), Millis(0)));
+    let mut late = Findings::default();
+    assert!(!late.take("hints", &finding(2, 5, 4_000), Millis(0)));
     let mut pool = pool(&["a", "b"]);
     let [a, _] = pool.present_of("hints")[..] else { panic!("two servers") };
     pool.set_slow("hints", &["a".to_owned()], Millis(3_000), Millis(0));
     assert!(pool.is_slow(a, Millis(999)) && !pool.is_slow(a, Millis(1_000)));
 }
 
-/// The bounds of a service change while it has repeats out.
+/// The bounds of a service change after it has taken retries.
 #[test]
 fn changed_bounds_hold_at_once_and_what_was_spent_counts_on() {
     let config = budget::Config { ratio: 0.0, slack: 4.0, window: Millis(1_000) };
@@ -320,8 +325,8 @@
 proptest! {
     #![proptest_config(seeded(400, "tests/direct_requests.regressions"))]
 
-    /// Lives come and go, and rows come back: whoever is chosen is listed and not leaving, and
-    /// somebody is as long as there is one.
+    /// Servers start and stop, and rows reappear. Each chosen server must be listed and not
+    /// leaving, and one must be chosen as long as there is such a server.
     #[test]
     fn only_listed_servers_are_chosen_however_lives_come_and_go(
         changes in vec((0u16..12, 0u8..3), 1..300),
@@ -357,7 +362,7 @@
         }
     }
 
-    /// A rank that is slow ends up with fewer tokens, and the passes with less than it cost before.
+    /// A plan must assign fewer tokens to a slow rank and reduce the skew of the passes.
     #[test]
     fn a_slow_rank_is_given_fewer_tokens(
         shares in vec(0.2f64..1.0, 16),
@@ -380,8 +385,8 @@
         prop_assert!(skew(&after) < 0.8 * skew(&before));
     }
 
-    /// In every window, the repeats of all gateways stay within the operators' bound, also when each
-    /// gateway was replaced by a new process in the middle of it.
+    /// In every window, the retries of all gateways must stay within the operators' bound, even if
+    /// each gateway is replaced by a new process during the window.
     #[test]
     fn repeats_stay_within_the_bound_in_every_window(
         events in vec((0u64..120, 0usize..4, any::<bool>()), 1..400),
@@ -389,7 +394,7 @@
     ) {
         let config = budget::Config { ratio: 0.2, slack: 12.0, window: Millis(1_000) };
         let mut budgets = vec![RetryBudget::new(config); 4];
-        let (mut now, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
+        let (mut now, mut requests, mut retries) = (0, Vec::new(), Vec::new());
         let mut restarted = false;
         for (pause, gateway, is_request) in events {
             now += pause;
@@ -401,30 +406,30 @@
                 budgets[gateway].record_request(Millis(now));
                 requests.push(now);
             } else if budgets[gateway].take(Millis(now), 4) {
-                repeats.push(now);
+                retries.push(now);
             }
             let in_window = |times: &[u64]| times.iter().filter(|at| now - **at < 1_000).count();
-            // A repeat earned by a request of the window before counts against that window too.
+            // A retry earned by a request of the previous window counts against that window too.
             let earned = requests.iter().filter(|at| now - **at < 2_000).count();
             let bound = 0.2 * earned as f64 + 12.0;
-            prop_assert!(in_window(&repeats) as f64 <= bound);
+            prop_assert!(in_window(&retries) as f64 <= bound);
         }
     }
 
-    /// However a stream is cut into pieces, and wherever its server breaks off, the caller gets whole
-    /// events, in order, each once.
+    /// However a stream is split into pieces, and wherever its server truncates it, the caller must
+    /// get complete events, in order, each once.
     #[test]
     fn callers_get_whole_events_each_once(
         lengths in vec(0usize..30, 1..20),
         cuts in vec(1usize..40, 1..40),
-        breaks_after in 0usize..400,
+        truncated_at in 0usize..400,
     ) {
         let texts: Vec<String> = lengths.iter().enumerate()
             .map(|(id, length)| format!("id: {id}\ndata: {}\n\n", "x".repeat(*length)))
             .collect();
         let whole: Vec<u8> = texts.concat().into_bytes();
         let mut events = EventBuffer::default();
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         let mut feed = |events: &mut EventBuffer, bytes: &[u8]| {
             let mut rest = bytes;
             for cut in cuts.iter().cycle() {
@@ -432,19 +437,21 @@
                     break;
                 }
                 let (piece, others) = rest.split_at((*cut).min(rest.len()));
-                passed.extend(events.push(piece));
+                forwarded.extend(events.push(piece));
                 rest = others;
             }
         };
-        feed(&mut events, &whole[..breaks_after.min(whole.len())]);
+        feed(&mut events, &whole[..truncated_at.min(whole.len())]);
         events.discard_partial();
-        // The next server goes on after the last whole event; one that ignores that begins anew.
+        // The next server may resume after the last complete event or restart the stream. This one
+        // restarts it.
         feed(&mut events, &whole);
-        passed.extend(events.end());
-        prop_assert_eq!(passed, whole);
+        forwarded.extend(events.end());
+        prop_assert_eq!(forwarded, whole);
     }
 
-    /// A plan keeps to places, new experts and copies, leaves no expert nowhere, and is no worse.
+    /// A plan must respect the limits on experts per rank and on new experts per rank, place every
+    /// expert, and not be worse than before.
     #[test]
     fn plans_keep_their_bounds(
         shares in vec(0.0f64..1.0, 16),
@@ -472,7 +479,7 @@
         let new = expert_plan::new_at(&before, &after, ranks);
         prop_assert!(new.into_iter().all(|new| new <= new_at));
         let skew = |holders: &[Holders]| expert_plan::skew(holders, &shares, &paces);
-        // The peak is measured by a norm, which may let the maximum rise a little.
+        // The plan minimises a norm of the loads, so the maximum may increase slightly.
         prop_assert!(skew(&after) <= skew(&before) * 1.1);
         if new_at >= 2 {
             prop_assert!(skew(&after) < 0.8 * skew(&before), "a hot expert is spread");
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,8 @@
-//! Choosing a backend server: turns by weight, what reports take away, and who is left out.
+//! Choice of a backend server: turns by weight, the effect of load reports, and excluded servers.
+//!
+//! Guards against uneven shares, reports that order the servers for all gateways alike, requests to
+//! servers that are drained, leaving, unlinked or tried, and a flood of requests to a server that
+//! becomes available again.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::routing::Candidate;
@@ -28,8 +32,8 @@
 #[test]
 fn turns_follow_weights_to_the_request() {
     assert_eq!(counts(&mut candidates(&[1, 1, 1, 1]), Millis(0), 40), [10, 10, 10, 10]);
-    let weighed = counts(&mut candidates(&[100, 200, 100]), Millis(0), 400);
-    assert!(weighed[1].abs_diff(200) <= 2 && weighed[0].abs_diff(100) <= 2, "{weighed:?}");
+    let weighted = counts(&mut candidates(&[100, 200, 100]), Millis(0), 400);
+    assert!(weighted[1].abs_diff(200) <= 2 && weighted[0].abs_diff(100) <= 2, "{weighted:?}");
 }
 
 #[test]
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -1,4 +1,7 @@
-//! Who links to whom: even, near, and stable.
+//! Subsets of instances for links: even, mostly local and stable.
+//!
+//! Guards against servers that get too many or too few gateways, subsets that change for instances
+//! that were not affected, and subsets without any instance of another data centre.
 
 use hooktrestle_core::subset;
 use hooktrestle_core::subset::Instance;
@@ -30,8 +33,11 @@
         }
     }
     let mean = GATEWAYS * 16 / SERVERS;
-    let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
-    assert!(*least * 10 > mean * 7 && *most * 10 < mean * 13, "{least} to {most} around {mean}");
+    let (min_count, max_count) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
+    assert!(
+        *min_count * 10 > mean * 7 && *max_count * 10 < mean * 13,
+        "{min_count} to {max_count} around {mean}"
+    );
 }
 
 #[test]
@@ -40,9 +46,9 @@
     let fewer: Vec<String> = all.iter().filter(|name| *name != "server-7").cloned().collect();
     for gateway in 0..GATEWAYS {
         let (before, after) = (chosen(&all, gateway), chosen(&fewer, gateway));
-        let kept = before.iter().filter(|name| after.contains(name)).count();
+        let retained = before.iter().filter(|name| after.contains(name)).count();
         let lost = usize::from(before.iter().any(|name| name == "server-7"));
-        assert_eq!(kept, before.len() - lost);
+        assert_eq!(retained, before.len() - lost);
     }
 }
 
@@ -56,15 +62,15 @@
         .collect();
     for gateway in 0..50 {
         let subset = subset::choose(&format!("gateway-{gateway}"), &mixed, 12);
-        let near = subset.iter().filter(|index| **index < 20).count();
-        assert!(near >= 8, "{near} near of {}", subset.len());
+        let local = subset.iter().filter(|index| **index < 20).count();
+        assert!(local >= 8, "{local} local of {}", subset.len());
         assert_eq!(subset.len(), 12);
     }
-    let far = (0..50).filter(|gateway| {
+    let remote = (0..50).filter(|gateway| {
         let subset = subset::choose(&format!("gateway-{gateway}"), &mixed, 12);
         subset.iter().any(|index| *index >= 20)
     });
-    assert!(far.count() > 45);
+    assert!(remote.count() > 45);
 }
 
 #[test]
--- a/crates/core/tests/suspension.rs
+++ b/crates/core/tests/suspension.rs
@@ -1,10 +1,13 @@
-//! When a process stood still.
+//! Detection of a suspension of the process.
+//!
+//! Guards against a suspension that is missed, reported after it is too long ago, or reported where
+//! the process was only slow to start or busy for a moment.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::suspension::MIN_SUSPENSION;
 use hooktrestle_core::suspension::SuspensionDetector;
 
-fn read_each(
+fn observe_each(
     span: Millis,
     times: u64,
     from: Millis,
@@ -20,15 +23,15 @@
 #[test]
 fn a_gap_between_readings_is_a_standstill_until_it_is_long_ago() {
     let mut suspension = SuspensionDetector::default();
-    let before = read_each(Millis(600), 10, Millis::ZERO, &mut suspension);
+    let before = observe_each(Millis(600), 10, Millis::ZERO, &mut suspension);
     assert_eq!(suspension.ended_within(Millis::MAX, before), None);
-    let woke = before + Millis(9_000);
-    suspension.observe_clock(woke);
+    let resumed_at = before + Millis(9_000);
+    suspension.observe_clock(resumed_at);
     let within = Millis(3_000);
-    assert_eq!(suspension.ended_within(within, woke), Some(Millis(9_000)));
-    let later = read_each(Millis(600), 4, woke, &mut suspension);
+    assert_eq!(suspension.ended_within(within, resumed_at), Some(Millis(9_000)));
+    let later = observe_each(Millis(600), 4, resumed_at, &mut suspension);
     assert_eq!(suspension.ended_within(within, later), Some(Millis(9_000)));
-    let later = read_each(Millis(600), 1, later, &mut suspension);
+    let later = observe_each(Millis(600), 1, later, &mut suspension);
     assert_eq!(suspension.ended_within(within, later), None, "{later}");
 }
 
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -1,4 +1,9 @@
-//! "Not run" is true, at most once, and whole answers: whatever happens, in any order, together.
+//! Random schedules of events at gateways and sidecars, checked after each event.
+//!
+//! Guards against a verdict "not run" for a request that ran, a second run of a request that must
+//! run once, and incomplete answers. They come about by cut links, restarts, deadlines, callers that
+//! disconnect and late messages, in any order. Worlds with a known flaw show that the checks detect
+//! it.
 
 mod schedule;
 mod support;
@@ -43,7 +48,7 @@
     proptest::collection::vec(event(), 1..250)
 }
 
-/// Whether some schedule makes a world with this flaw break a promise.
+/// Whether the checks fail for some schedule in a world with this flaw.
 fn is_caught(flaw: Flaw) -> bool {
     let config = ProptestConfig { failure_persistence: None, ..seeded(2_000, "") };
     let ran = TestRunner::new(config).run(&schedules(), |events| {
