--- a/crates/core/src/direct/pool.rs
+++ b/crates/core/src/direct/pool.rs
@@ -201,9 +201,9 @@
             !server.address_lost && server.listed.address == address
         };
         let claiming = keys.iter().copied().filter(claims);
-        let holder = claiming.max_by_key(|key| self.servers[*key].first_revision);
+        let owner = claiming.max_by_key(|key| self.servers[*key].first_revision);
         for key in keys {
-            self.servers[*key].replaced = Some(*key) != holder;
+            self.servers[*key].replaced = Some(*key) != owner;
         }
     }
 
