--- a/crates/core/src/direct.rs
+++ b/crates/core/src/direct.rs
@@ -1,31 +1,33 @@
-//! Decisions of a gateway that sends requests straight to backend servers.
+//! Decisions of a gateway that sends requests directly to backend servers.
+//! Input are requests, answers, and messages of peers and of the platform's store.
+//! Each module holds the state of one of these decisions.
 //!
-//! Where no process of ours stands beside a backend server, the server itself says what it did not
-//! run, and the gateways between them hold everything else:
+//! In this mode no process of ours runs beside a backend server. The server itself reports which
+//! requests it did not run, and the gateways together hold all other state:
 //!
 //! - [`serving`]: the configuration in force: routes, accounts, limits.
-//! - [`replica`]: a table of the platform as this process knows it, from the store or from peers.
-//! - [`unconfirmed`]: rows that the platform's store has lost, until they are written again.
-//! - [`members`]: which gateways there are.
-//! - [`pool`]: which backend server gets a request.
-//! - [`asked`]: what a backend server asks of this gateway: a rest, or nothing more.
-//! - [`named_limit`], [`permits`]: how many requests a backend server takes from all gateways together.
-//! - [`slow_servers`]: which backend servers are slow, as one gateway finds and all tell each other.
-//! - [`admission`]: how many streams a service bears, by how long its passes take.
-//! - [`attempts`]: what follows an attempt: answer, another attempt, or a refusal.
-//! - [`fingerprint`]: tells a request that comes again.
-//! - [`overtaken`]: requests at a server that says nothing while later ones are answered elsewhere.
-//! - [`broken_off`]: answers that broke off, and what was at a server as it crashed.
-//! - [`crashes`]: requests that crash the servers that run them, by what all gateways saw.
-//! - [`outage`]: when callers come back while no server can take a request.
-//! - [`budget`]: how many repeats failures may cost, over a sliding window.
-//! - [`expert_demand`], [`expert_plan`], [`expert_layout`], [`holders`]: how often experts are chosen,
-//!   and which rank shall hold which.
-//! - [`readings`]: how often experts were chosen, told as what came since.
-//! - [`map_orders`]: how that is changed.
-//! - [`fencing`]: tokens by which servers tell who leads now.
-//! - [`relays`]: gateways through which orders go that no machine of their group should give.
-//! - [`passes`]: how long the passes of groups take.
+//! - [`replica`]: replica of a table of the platform, from the store or from peers.
+//! - [`unconfirmed`]: rows that the platform's store lost, until they are written again or lapse.
+//! - [`members`]: membership of the gateways and failure detection.
+//! - [`pool`]: choice of the backend server for a request.
+//! - [`asked`]: back-off that a backend server asks of this gateway, or its request to get no more.
+//! - [`named_limit`], [`permits`]: limits that backend servers advertise for all gateways together.
+//! - [`slow_servers`]: reports of slow backend servers, which gateways gossip.
+//! - [`admission`]: number of streams that a service can carry, from the duration of its passes.
+//! - [`attempts`]: what follows an attempt: an answer, another attempt, or a refusal.
+//! - [`fingerprint`]: identifies retries of one request.
+//! - [`overtaken`]: requests at a server that does not respond while others answer later ones.
+//! - [`broken_off`]: truncated answers, and requests that were at a server when it crashed.
+//! - [`crashes`]: requests that crash the servers that run them, from reports of all gateways.
+//! - [`outage`]: time after which callers retry while no server can accept a request.
+//! - [`budget`]: number of retries after failures, over a sliding window.
+//! - [`expert_demand`], [`expert_plan`], [`expert_layout`], [`holders`]: how often experts are
+//!   chosen, and which ranks are to hold them.
+//! - [`readings`]: snapshots of the expert counters, sent as deltas.
+//! - [`map_orders`]: orders that change the expert map of a group.
+//! - [`fencing`]: tokens by which servers recognise the present leader.
+//! - [`relays`]: gateways that relay orders which no machine of the group is to send.
+//! - [`passes`]: duration of the passes of groups.
 //! - [`events`]: a stream of events, cut between events only.
 
 pub mod admission;
--- a/crates/core/src/direct/members.rs
+++ b/crates/core/src/direct/members.rs
@@ -1,15 +1,18 @@
-//! Which gateways there are, as this one has heard.
+//! Membership table of the gateways: records from peers and rows of the platform's table go in.
+//! It keeps the newest heartbeat of each gateway and the time since that gateway was alive.
+//! The table decides which gateways callers get, which one leads, and which follow the store closely.
 //!
-//! Each gateway counts a heartbeat up and tells it to a few others, with the newest that it has
-//! heard of everyone. A gateway whose heartbeat stands still is not given to callers any more, and
-//! is forgotten only much later: after a cut, whoever was on the other side is asked again.
+//! Each gateway increments a heartbeat and gossips it to a few peers, with the newest heartbeats
+//! that it knows of all others. A gateway whose heartbeat does not advance is suspected and is no
+//! longer given to callers. It is removed only much later, so that gateways on both sides of a
+//! network cut contact each other again once the cut is over.
 //!
-//! Each exchange of news names every gateway, so what it says of one is kept short: a [`Heartbeat`], a
-//! number for one incarnation of a gateway and what changes while it lives. Names and addresses go only to
-//! whoever lacks them. With 149 gateways a message has 2 kB in place of 22.
+//! Each exchange names every gateway, so the data on one gateway is short: a [`Heartbeat`] holds an
+//! identifier of the incarnation and the fields that change during it. Names and addresses are sent
+//! only to peers that lack them. With 149 gateways a message has 2 kB in place of 22.
 //!
-//! What is told of a gateway comes with its age. Others remember longer, or have heard less, so that
-//! a word is new here does not show that the gateway lives.
+//! Each record has an age. Peers may keep a removed gateway for longer, or may know an older
+//! heartbeat, so a record that is new to this gateway does not prove that its gateway is alive.
 
 mod liveness;
 mod record;
@@ -34,33 +37,34 @@
 use crate::clock::Millis;
 use crate::util::hash;
 
-/// Times of a [`Members`].
+/// Time-outs and limits of a [`Members`].
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Time without a heartbeat after which callers are not sent there.
+    /// Time without a heartbeat after which a gateway is suspected and not given to callers.
     pub suspect_after: Millis,
-    /// Time without a heartbeat after which it is not asked again.
-    pub forget_after: Millis,
-    /// Time in which nobody heard of a gateway that is listed, after which its row is removed.
+    /// Time without a heartbeat after which a gateway is removed and not contacted again.
+    pub remove_after: Millis,
+    /// Time after which the row of a listed gateway without any record from a peer is removed.
     pub unlist_after: Millis,
     /// Gateways of each data centre that follow the store closely.
     pub close_followers: usize,
-    /// Time between two exchanges of news by one gateway.
+    /// Time between two gossip exchanges that one gateway starts.
     pub gossip_interval: Millis,
-    /// Time without an exchange of news after which this one follows the store closely, too.
+    /// Time without a gossip exchange after which this gateway follows the store closely, too.
     pub isolated_after: Millis,
 }
 
 impl Default for Config {
-    /// Heartbeats come each 0.6 s and cross the fleet in two or three rounds; a minute covers the
-    /// cuts that the users' deployments list. Three close followers: of nine in three data centres one
-    /// is left where half of all machines fail at once, but for once in 500 times. Exchanges are made
-    /// each 0.6 s and time out after 0.5 s, so 1.5 s are two that failed. Rows of the other side of a
-    /// cut are removed and written again, one call each in ten minutes.
+    /// Heartbeats are sent each 0.6 s and reach all gateways in two or three gossip rounds. A
+    /// minute covers the network cuts that the users' deployments list. With three close followers
+    /// in each of three data centres, at least one of the nine remains when half of all machines
+    /// fail at once, except in one of 500 cases. Exchanges start each 0.6 s and time out after 0.5
+    /// s, so 1.5 s without an exchange means that two have failed. During a cut the rows of the
+    /// other side are removed and written again, which costs one call for each row in ten minutes.
     fn default() -> Self {
         Config {
             suspect_after: Millis(3_000),
-            forget_after: Millis(60_000),
+            remove_after: Millis(60_000),
             unlist_after: Millis(600_000),
             close_followers: 3,
             gossip_interval: Millis(600),
@@ -69,79 +73,90 @@
     }
 }
 
-/// Of so many draws, one takes gateways that were silent, too.
-const SILENT_DRAWS: u8 = 4;
+/// One of so many random picks of a peer includes suspected gateways.
+const SUSPECTED_PICK_ONE_IN: u8 = 4;
 
-/// Rounds of news after those in which as many gateways hear as knew before: the last few are drawn by
-/// chance.
-const SPREAD_TAIL: u64 = 1;
+/// Gossip rounds added to those in which the number of informed gateways doubles: the last few
+/// gateways are reached only when a peer picks them at random.
+const EXTRA_GOSSIP_ROUNDS: u64 = 1;
 
-/// Rounds of news that a claim is protected at least, however few gateways its holder has heard of.
-const LEAST_SPREAD: u64 = 4;
+/// Minimum number of gossip rounds for which a claim of leadership is protected, also when its
+/// holder knows few gateways.
+const MIN_GOSSIP_ROUNDS: u64 = 4;
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct Entry {
     member: Member,
-    /// When news of it came, or it was read from the platform's table.
-    taken_at: Millis,
-    /// How long ago it had lived then; `None` if nobody has told of it. Not the moment at which it lived:
-    /// that is often before this process began, where its clock has no times.
-    age_then: Option<Millis>,
+    /// When a record of it was applied, or it was read from the platform's table.
+    updated_at: Millis,
+    /// Time since the gateway was alive, at the time of the update; `None` without any record from
+    /// a peer. An age in place of a moment, since the moment is often before the start of this
+    /// process, where its clock has no values.
+    age_at_update: Option<Millis>,
     /// Whether it could not be reached since.
     unreachable: bool,
 }
 
-impl Heard {
-    fn listed(member: &Member, now: Millis) -> Heard {
-        Heard { member: member.clone(), taken_at: now, age_then: None, unreachable: false }
+impl Entry {
+    fn listed(member: &Member, now: Millis) -> Entry {
+        Entry { member: member.clone(), updated_at: now, age_at_update: None, unreachable: false }
     }
 
-    /// Takes news of it; whoever lives now has lived at all earlier moments that were told.
-    fn take(&mut self, told: Member, age: Millis, now: Millis) {
+    /// Applies a newer record. The smaller of both ages holds: a gateway that is alive now was
+    /// alive at all earlier moments that peers reported.
+    fn apply(&mut self, received: Member, age: Millis, now: Millis) {
         let least = self.age(now).map_or(age, |known| known.min(age));
-        *self = Heard { member: told, taken_at: now, age_then: Some(least), unreachable: false };
+        *self = Entry {
+            member: received,
+            updated_at: now,
+            age_at_update: Some(least),
+            unreachable: false,
+        };
     }
 
-    /// Time since it lived; `None` if nobody has told of it.
+    /// Time since the gateway was alive; `None` without any record from a peer.
     fn age(&self, now: Millis) -> Option<Millis> {
-        Some(self.age_then? + now.since(self.taken_at))
+        Some(self.age_at_update? + now.since(self.updated_at))
     }
 
-    /// Whether this is news: of a later process, of a later heartbeat, or the first.
-    fn is_behind(&self, told: &Member) -> bool {
-        let known = self.member.moment();
-        told.moment() > known || (self.age_then.is_none() && told.moment() >= known)
+    /// Whether the received record is newer: of a later process, of a later heartbeat, or the
+    /// first.
+    fn is_behind(&self, received: &Member) -> bool {
+        let known = self.member.recency();
+        received.recency() > known || (self.age_at_update.is_none() && received.recency() >= known)
     }
 }
 
-/// All gateways that this one has heard of, itself included.
+/// All gateways that this one knows, itself included.
 #[derive(Clone, Debug)]
 pub struct Members {
     config: Config,
     own: Member,
-    /// Fencing token with which it leads expert maps, told to others or not; 0 if it does not.
+    /// Fencing token with which it leads expert maps, advertised to others or not; 0 if it does
+    /// not.
     leader_fencing_token: u64,
-    others: BTreeMap<String, Heard>,
-    /// Names of the lives of the others.
-    lives: HashMap<IncarnationId, String>,
-    /// When news were exchanged last.
+    others: BTreeMap<String, Entry>,
+    /// Names of the other gateways by incarnation.
+    names_by_id: HashMap<IncarnationId, String>,
+    /// Time of the last gossip exchange.
     exchanged_at: Option<Millis>,
-    /// Names that stood in the platform's table when it was read last; `None` before.
+    /// Names in the platform's table when it was read last; `None` before.
     listed: Option<HashSet<String>>,
-    /// Names that stood there before the store came back from an older copy, and until when they count.
+    /// Names in that table before the store was restored from an older copy, each with the time
+    /// until which it counts.
     listed_before: HashMap<String, Millis>,
     liveness: LivenessTracker,
 }
 
 impl Members {
-    /// A gateway that has heard of none other.
+    /// A gateway that knows no other.
     pub fn new(config: Config, own: Member) -> Members {
         Members {
             config,
             own,
             leader_fencing_token: 0,
             others: BTreeMap::new(),
-            lives: HashMap::new(),
+            names_by_id: HashMap::new(),
             exchanged_at: None,
             listed: None,
             listed_before: HashMap::new(),
@@ -149,7 +164,7 @@
         }
     }
 
-    /// Time between two exchanges of news by one gateway.
+    /// Time between two gossip exchanges that one gateway starts.
     pub fn gossip_interval(&self) -> Millis {
         self.config.gossip_interval
     }
@@ -159,182 +174,193 @@
         &self.own
     }
 
-    /// Counts the own heartbeat up.
+    /// Increments the own heartbeat.
     pub fn advance_heartbeat(&mut self) {
         self.own.heartbeat += 1;
     }
 
-    /// Says whether callers shall be sent here.
+    /// Sets whether callers are to be sent to this gateway.
     pub fn set_readiness(&mut self, readiness: Readiness) {
         self.own.readiness = readiness;
     }
 
-    /// Says whether the platform's store answers this gateway.
+    /// Sets whether the platform's store answers this gateway.
     pub fn set_store_answers(&mut self, answers: bool) {
         self.own.store_answers = answers;
     }
 
-    /// This gateway leads expert maps with a fencing token.
-    pub fn begin_leadership(&mut self, fence: u64) {
-        self.leader_fencing_token = fence;
-        self.own.leader_fencing_token = fence;
+    /// Records that this gateway leads expert maps with a fencing token.
+    pub fn begin_leadership(&mut self, token: u64) {
+        self.leader_fencing_token = token;
+        self.own.leader_fencing_token = token;
     }
 
-    /// The highest fencing token that this gateway has or has heard of, living or not; 0 if none.
+    /// The highest fencing token of all known gateways, alive or not, this one included; 0 if none.
     pub fn highest_fencing_token(&self) -> u64 {
-        let heard = self.others.values().map(|heard| heard.member.leader_fencing_token);
-        heard.chain([self.leader_fencing_token]).max().unwrap_or_default()
+        let tokens = self.others.values().map(|entry| entry.member.leader_fencing_token);
+        tokens.chain([self.leader_fencing_token]).max().unwrap_or_default()
     }
 
-    /// Whether others are told of the lead. Where they are not, one of them may take it over; until
-    /// then it goes on.
-    pub fn advertise_leadership(&mut self, told: bool) {
-        self.own.leader_fencing_token = if told { self.leader_fencing_token } else { 0 };
+    /// Sets whether the own leadership is advertised. While it is not, another gateway may take it
+    /// over; until then this gateway continues to lead.
+    pub fn advertise_leadership(&mut self, advertised: bool) {
+        self.own.leader_fencing_token = if advertised { self.leader_fencing_token } else { 0 };
     }
 
-    /// The lead with this token is over; one that began since goes on.
-    pub fn end_leadership(&mut self, fence: u64) {
-        if self.leader_fencing_token == fence {
+    /// Ends the leadership with this token. A leadership that began since with another token
+    /// continues.
+    pub fn end_leadership(&mut self, token: u64) {
+        if self.leader_fencing_token == token {
             self.leader_fencing_token = 0;
             self.own.leader_fencing_token = 0;
         }
     }
 
-    /// Takes what another gateway tells of any gateway.
-    pub fn apply_record(&mut self, word: &MemberRecord, now: Millis) {
-        let told = &word.member;
-        if told.name == self.own.name {
-            // Record of another process of this instance: outlive it.
+    /// Applies a record of any gateway that another gateway sent.
+    pub fn apply_record(&mut self, record: &MemberRecord, now: Millis) {
+        let received = &record.member;
+        if received.name == self.own.name {
+            // A record of another process of this instance: this process takes a higher
+            // incarnation.
             let known = (self.own.incarnation, self.own.heartbeat);
-            if (told.incarnation, told.heartbeat) > known {
-                self.own.incarnation = told.incarnation + 1;
+            if (received.incarnation, received.heartbeat) > known {
+                self.own.incarnation = received.incarnation + 1;
             }
             return;
         }
-        let known = self.others.get(&told.name).cloned();
-        let mut heard = known.unwrap_or_else(|| Heard::listed(told, now));
-        if word.age < self.config.forget_after && heard.is_behind(told) {
-            heard.take(told.clone(), word.age, now);
-            self.insert(heard);
+        let known = self.others.get(&received.name).cloned();
+        let mut entry = known.unwrap_or_else(|| Entry::listed(received, now));
+        if record.age < self.config.remove_after && entry.is_behind(received) {
+            entry.apply(received.clone(), record.age, now);
+            self.insert(entry);
         }
     }
 
-    fn insert(&mut self, heard: Heard) {
-        let (name, incarnation_id) = (heard.member.name.clone(), heard.member.incarnation_id());
-        let before = self.others.insert(name.clone(), heard);
+    fn insert(&mut self, entry: Entry) {
+        let (name, incarnation_id) = (entry.member.name.clone(), entry.member.incarnation_id());
+        let before = self.others.insert(name.clone(), entry);
         if let Some(before) =
             before.map(|before| before.member.incarnation_id()).filter(|old| *old != incarnation_id)
         {
-            self.lives.remove(&before);
+            self.names_by_id.remove(&before);
         }
-        self.lives.insert(incarnation_id, name);
+        self.names_by_id.insert(incarnation_id, name);
     }
 
-    /// Takes what another gateway tells of those that it knows, and returns the lives that are not
-    /// known here: what they are has to be asked.
+    /// Applies heartbeats that another gateway sent, and returns the incarnations that are not
+    /// known here: their records have to be requested.
     pub fn apply_heartbeats(&mut self, beats: &[Heartbeat], now: Millis) -> Vec<IncarnationId> {
-        let (own, forget) = (self.own.incarnation_id(), self.config.forget_after);
+        let (own, forget) = (self.own.incarnation_id(), self.config.remove_after);
         let mut unknown = Vec::new();
-        // Who would be forgotten at once is not asked for.
+        // A record that would be removed at once is not requested.
         for beat in beats.iter().filter(|beat| beat.incarnation_id != own && beat.age < forget) {
-            let known =
-                self.lives.get(&beat.incarnation_id).and_then(|name| self.others.get_mut(name));
-            let Some(heard) = known else {
+            let known = self
+                .names_by_id
+                .get(&beat.incarnation_id)
+                .and_then(|name| self.others.get_mut(name));
+            let Some(entry) = known else {
                 unknown.push(beat.incarnation_id);
                 continue;
             };
-            let told = heard.member.with_beat(beat);
-            if heard.is_behind(&told) {
-                heard.take(told, beat.age, now);
+            let received = entry.member.with_heartbeat(beat);
+            if entry.is_behind(&received) {
+                entry.apply(received, beat.age, now);
             }
         }
         unknown
     }
 
-    /// What is told of all that were heard of, itself included.
+    /// Heartbeats to send: of all known gateways with a record from a peer, and of this one.
     pub fn heartbeats(&self, now: Millis) -> Vec<Heartbeat> {
         let others = self.others.values();
-        let beat = |heard: &Heard| Some(heard.member.to_heartbeat(self.told_age(heard, now)?));
+        let beat =
+            |entry: &Entry| Some(entry.member.to_heartbeat(self.advertised_age(entry, now)?));
         others.filter_map(beat).chain([self.own.to_heartbeat(Millis::ZERO)]).collect()
     }
 
-    /// Those that one who told these beats does not know.
-    pub fn records_missing_from(&self, told: &[Heartbeat], now: Millis) -> Vec<MemberRecord> {
-        let told: HashSet<IncarnationId> = told.iter().map(|beat| beat.incarnation_id).collect();
+    /// Records that the sender of these heartbeats lacks.
+    pub fn records_missing_from(&self, received: &[Heartbeat], now: Millis) -> Vec<MemberRecord> {
+        let received: HashSet<IncarnationId> =
+            received.iter().map(|beat| beat.incarnation_id).collect();
         let others =
-            self.others.values().filter(|heard| !told.contains(&heard.member.incarnation_id()));
-        let own = (!told.contains(&self.own.incarnation_id())).then(|| self.own_record());
-        others.filter_map(|heard| self.word(heard, now)).chain(own).collect()
+            self.others.values().filter(|entry| !received.contains(&entry.member.incarnation_id()));
+        let own = (!received.contains(&self.own.incarnation_id())).then(|| self.own_record());
+        others.filter_map(|entry| self.record(entry, now)).chain(own).collect()
     }
 
-    /// Those of the lives that were heard of.
-    pub fn records_of(&self, lives: &[IncarnationId], now: Millis) -> Vec<MemberRecord> {
+    /// Records of these incarnations, as far as they are known.
+    pub fn records_of(&self, ids: &[IncarnationId], now: Millis) -> Vec<MemberRecord> {
         let known = |incarnation_id: &IncarnationId| {
-            let other = self.lives.get(incarnation_id).and_then(|name| self.others.get(name));
+            let other = self.names_by_id.get(incarnation_id).and_then(|name| self.others.get(name));
             let is_own = *incarnation_id == self.own.incarnation_id();
-            other.and_then(|heard| self.word(heard, now)).or(is_own.then(|| self.own_record()))
+            other.and_then(|entry| self.record(entry, now)).or(is_own.then(|| self.own_record()))
         };
-        lives.iter().filter_map(known).collect()
+        ids.iter().filter_map(known).collect()
     }
 
-    /// What this gateway tells of itself.
+    /// The record that this gateway sends of itself.
     pub fn own_record(&self) -> MemberRecord {
         MemberRecord { member: self.own.clone(), age: Millis::ZERO }
     }
 
-    /// Takes the platform's table of gateways. That one is listed does not show that it lives: whoever
-    /// is not known yet is asked, and counts as living once it is heard of. Returns the rows to remove:
-    /// of gateways that nobody has heard of for long, and of all gateways one removes them. Left, they
-    /// would be asked, and waited for in taking the lead, for ever. Whoever lives lists itself again.
+    /// Applies the platform's table of gateways. A row does not prove that its gateway is alive: a
+    /// gateway that is not known yet is contacted, and counts as alive once a record of it arrives.
+    ///
+    /// Returns the rows to remove: of gateways without a record for [`Config::unlist_after`]. Only
+    /// the preferred candidate for leadership returns any, so that one gateway of all removes them.
+    /// Rows that stayed would be contacted, and waited for in the claim of leadership, for ever. A
+    /// gateway that is alive writes its row again.
     pub fn apply_table(&mut self, listed: &[Member], now: Millis) -> Vec<String> {
         let names: HashSet<&str> = listed.iter().map(|member| member.name.as_str()).collect();
         self.listed_before.retain(|name, until| *until > now && !names.contains(name.as_str()));
         let before = &self.listed_before;
-        let is_listed = |heard: &Heard| {
-            let name = heard.member.name.as_str();
+        let is_listed = |entry: &Entry| {
+            let name = entry.member.name.as_str();
             names.contains(name) || before.contains_key(name)
         };
         self.listed = Some(names.iter().copied().map(str::to_owned).collect());
-        self.others.retain(|_, heard| heard.age_then.is_some() || is_listed(heard));
+        self.others.retain(|_, entry| entry.age_at_update.is_some() || is_listed(entry));
         for member in listed {
             if member.name != self.own.name && !self.others.contains_key(&member.name) {
-                self.insert(Heard::listed(member, now));
+                self.insert(Entry::listed(member, now));
             }
         }
-        self.forget_lives();
-        if !self.is_first_able(now) {
+        self.remove_stale_ids();
+        if !self.is_preferred_candidate(now) {
             return Vec::new();
         }
-        let unheard = |heard: &&Heard| {
-            heard.age_then.is_none() && now.since(heard.taken_at) >= self.config.unlist_after
+        let without_record = |entry: &&Entry| {
+            entry.age_at_update.is_none() && now.since(entry.updated_at) >= self.config.unlist_after
         };
-        let found = self.others.values().filter(unheard);
-        found.map(|heard| heard.member.name.clone()).collect()
+        let found = self.others.values().filter(without_record);
+        found.map(|entry| entry.member.name.clone()).collect()
     }
 
-    /// The store came back from an older copy: rows of the platform's table may be missing until their gateways
-    /// have written them again, which those that are cut off cannot. They count as long as a row would.
+    /// Records that the store was restored from an older copy. Rows of the platform's table may be
+    /// missing until their gateways have written them again, which gateways that are cut off from
+    /// the store cannot do. The missing rows count for [`Config::unlist_after`], as a row would.
     pub fn begin_era(&mut self, now: Millis) {
         let until = now + self.config.unlist_after;
         let listed = self.listed.iter().flatten();
         self.listed_before.extend(listed.map(|name| (name.clone(), until)));
     }
 
-    /// Whether the platform's table was read, and neither it nor anybody named another gateway.
+    /// Whether the platform's table was read, and neither it nor any peer named another gateway.
     pub fn is_listed_alone(&self) -> bool {
         self.listed.is_some() && self.others.is_empty()
     }
 
-    /// How many gateways there are, living or not, itself included: those that are remembered or listed, but for those
-    /// that said that they stop and did. `None` while nobody has told.
+    /// Number of gateways, alive or not, this one included: all that are known or listed, except
+    /// those that announced that they leave and are no longer alive. `None` before the first gossip
+    /// exchange and the first read of the platform's table.
     pub fn fleet_size(&self, now: Millis) -> Option<usize> {
         if self.listed.is_none() && self.exchanged_at.is_none() {
             return None;
         }
         let has_stopped = |name: &str| {
-            let heard = self.others.get(name);
-            heard.is_some_and(|heard| {
-                heard.member.readiness == Readiness::Leaving && !self.lives(heard, now)
+            let entry = self.others.get(name);
+            entry.is_some_and(|entry| {
+                entry.member.readiness == Readiness::Leaving && !self.is_alive(entry, now)
             })
         };
         let listed = self.listed.iter().flatten().map(String::as_str);
@@ -345,12 +371,13 @@
         Some(1 + others.count())
     }
 
-    /// The gateways that live and serve, itself included, in an order that all know: who comes first gives out what is
-    /// bounded for all. Never empty: while no other serves, this one does for itself.
+    /// The gateways that are alive and ready, this one included, in an order that is the same at
+    /// all gateways: the first one grants what is limited for all gateways together. Never empty:
+    /// while no gateway is ready, this one grants for itself.
     pub fn serving_gateways(&self, now: Millis) -> Vec<&Member> {
-        let living = self.living_others(now).chain([&self.own]);
+        let alive = self.alive_others(now).chain([&self.own]);
         let mut ready: Vec<&Member> =
-            living.filter(|member| member.readiness == Readiness::Ready).collect();
+            alive.filter(|member| member.readiness == Readiness::Ready).collect();
         ready.sort_by_cached_key(|member| (hash::of(&member.name), member.name.clone()));
         if ready.is_empty() {
             ready.push(&self.own);
@@ -358,60 +385,65 @@
         ready
     }
 
-    /// A gateway could not be reached: callers are not sent there until it is heard of again.
+    /// Records that a gateway could not be reached: callers are not sent there until a newer record
+    /// of it arrives.
     pub fn mark_unreachable(&mut self, peers_at: SocketAddr) {
-        let found = self.others.values_mut().find(|heard| heard.member.peers_at == peers_at);
-        if let Some(heard) = found {
-            heard.unreachable = true;
+        let found = self.others.values_mut().find(|entry| entry.member.peers_at == peers_at);
+        if let Some(entry) = found {
+            entry.unreachable = true;
         }
     }
 
-    /// All that are remembered, itself included.
+    /// All known gateways, this one included.
     pub fn known(&self) -> impl Iterator<Item = &Member> {
-        self.others.values().map(|heard| &heard.member).chain([&self.own])
+        self.others.values().map(|entry| &entry.member).chain([&self.own])
     }
 
-    /// Forgets those that were silent for long: by when they lived, so that all forget them at about
-    /// the same time. Those that are known from the table alone are known as long as they stand in it.
+    /// Removes gateways that were not alive for [`Config::remove_after`]. The age since they were
+    /// alive counts, so that all gateways remove them at about the same time. Gateways that are
+    /// known from the platform's table alone stay as long as their rows.
     pub fn remove_expired(&mut self, now: Millis) {
-        let forget = self.config.forget_after;
-        self.others.retain(|_, heard| heard.age(now).is_none_or(|age| age < forget));
-        self.forget_lives();
+        let forget = self.config.remove_after;
+        self.others.retain(|_, entry| entry.age(now).is_none_or(|age| age < forget));
+        self.remove_stale_ids();
     }
 
-    fn forget_lives(&mut self) {
+    fn remove_stale_ids(&mut self) {
         let others = &self.others;
-        self.lives.retain(|_, name| others.contains_key(name));
+        self.names_by_id.retain(|_, name| others.contains_key(name));
     }
 
-    /// Which others are seen otherwise than at the look before: they were heard of, fell silent, or
-    /// were forgotten.
+    /// Other gateways whose state changed since the last call: they became alive, became suspected,
+    /// or were removed.
     pub fn liveness_changes(&mut self, now: Millis) -> Vec<LivenessChange> {
-        let sight = |heard: &Heard| match self.lives(heard, now) {
+        let state = |entry: &Entry| match self.is_alive(entry, now) {
             true => Liveness::Alive,
             false => Liveness::Suspected,
         };
-        let seen = |(name, heard): (&String, &Heard)| {
-            (name.clone(), (heard.member.heartbeat, sight(heard)))
+        let observed = |(name, entry): (&String, &Entry)| {
+            (name.clone(), (entry.member.heartbeat, state(entry)))
         };
-        let known = self.others.iter().map(seen).collect();
+        let known = self.others.iter().map(observed).collect();
         self.liveness.update(known)
     }
 
-    /// How many gateways live, itself included.
+    /// Number of gateways that are alive, this one included.
     pub fn count_alive(&self, now: Millis) -> usize {
-        1 + self.living_others(now).count()
+        1 + self.alive_others(now).count()
     }
 
-    /// Where callers in `data_centre` connect, the nearest first. Never empty: a gateway that can
-    /// name no other names itself, and one that is stopping names others where it can. Callers are given
-    /// the first of them and draw one of these; so that all are given alike, each gateway has an order
-    /// of its own. By name, 64 of 149 in five data centres were all of the own and all of the first one,
-    /// which had four times the requests of most others (by reckoning).
+    /// Addresses to which callers in `data_centre` connect, those of the same data centre first.
+    /// Never empty: a gateway that knows no ready gateway names itself, and one that is leaving
+    /// names others where it can.
+    ///
+    /// Callers get the first of these addresses and pick one of them at random. Each gateway has an
+    /// order of its own, so that all gateways get the same share of callers. Ordered by name, the
+    /// first 64 of 149 gateways in five data centres are all of the caller's data centre and all of
+    /// one other, which then gets four times the requests of most others.
     pub fn for_callers(&self, data_centre: &str, now: Millis) -> Vec<SocketAddr> {
         let ready = |member: &Member| member.readiness == Readiness::Ready;
-        let living = self.living_others(now).chain([&self.own]);
-        let mut found: Vec<&Member> = living.filter(|member| ready(member)).collect();
+        let alive = self.alive_others(now).chain([&self.own]);
+        let mut found: Vec<&Member> = alive.filter(|member| ready(member)).collect();
         let own_order = hash::of(&self.own.name);
         found.sort_by_cached_key(|member| {
             (member.data_centre != data_centre, hash::score(own_order, &member.name))
@@ -422,124 +454,131 @@
         found.into_iter().map(|member| member.callers_at).collect()
     }
 
-    /// Whether this gateway is the one that shall lead expert maps, as far as it has heard. Whoever
-    /// leads goes on until it stops or is silent: each new leader has to learn the groups and their
-    /// demand anew. Of several the one with the highest token stays; while there is none, it is the
-    /// first of those whom the store answers, in the order of [`Members::count_preferred_leaders`].
+    /// Whether this gateway is to lead expert maps, as far as it knows. A leader continues until it
+    /// stops or is suspected, since each new leader has to learn the groups and their demand anew.
+    /// Of several leaders the one with the highest token continues. Without a leader it is the
+    /// first of the gateways that the store answers, in the order of
+    /// [`Members::count_preferred_leaders`].
     pub fn should_lead(&self, now: Millis) -> bool {
-        let living = self.living_others(now);
-        let ready = living.filter(|member| member.readiness == Readiness::Ready);
+        let alive = self.alive_others(now);
+        let ready = alive.filter(|member| member.readiness == Readiness::Ready);
         let highest =
             ready.clone().map(|member| member.leader_fencing_token).max().unwrap_or_default();
         if self.leader_fencing_token > 0 || highest > 0 {
             return self.leader_fencing_token > highest;
         }
-        // Whoever cannot reach the store cannot claim the lead.
-        self.is_first_able(now)
+        // A gateway that cannot reach the store cannot claim leadership.
+        self.is_preferred_candidate(now)
     }
 
-    /// Whether this gateway is the first of those that live and that the store answers, in the order of
-    /// [`Members::count_preferred_leaders`].
-    fn is_first_able(&self, now: Millis) -> bool {
+    /// Whether this gateway is the first of the gateways that are alive and that the store answers,
+    /// in the order of [`Members::count_preferred_leaders`].
+    fn is_preferred_candidate(&self, now: Millis) -> bool {
         let ready = |member: &&Member| member.readiness == Readiness::Ready && member.store_answers;
-        let mut able = self.living_others(now).filter(ready).map(Member::lead_order);
-        able.all(|order| order > self.own.lead_order()) && self.own.store_answers
+        let mut candidates = self.alive_others(now).filter(ready).map(Member::leadership_order);
+        candidates.all(|order| order > self.own.leadership_order()) && self.own.store_answers
     }
 
-    /// How many gateways go before this one in taking the lead, living or not: those with more memory,
-    /// then by name.
+    /// Number of gateways, alive or not, that are preferred to this one as leader: those with more
+    /// memory, then by name.
     pub fn count_preferred_leaders(&self) -> usize {
-        let others = self.others.values().map(|heard| heard.member.lead_order());
-        others.filter(|order| *order < self.own.lead_order()).count()
+        let others = self.others.values().map(|entry| entry.member.leadership_order());
+        others.filter(|order| *order < self.own.leadership_order()).count()
     }
 
-    /// News were exchanged with another gateway.
+    /// Records a gossip exchange with another gateway.
     pub fn record_exchange(&mut self, now: Millis) {
         self.exchanged_at = Some(now);
     }
 
-    /// Whether this gateway follows the store closely: the first by name of each data centre do, of
-    /// those whom the store answers, and whoever hears of no other. The rest hear from them what the
-    /// store's answers to themselves lack.
+    /// Whether this gateway follows the store closely. The first gateways by name of each data
+    /// centre do, of those that the store answers, and so does a gateway without a recent gossip
+    /// exchange. The close followers send the others what the store's answers to these lack.
     pub fn follows_closely(&self, now: Millis) -> bool {
         let is_alone =
             self.exchanged_at.is_none_or(|at| now.since(at) >= self.config.isolated_after);
-        let goes_before = |member: &&Member| {
+        let is_preferred = |member: &&Member| {
             member.data_centre == self.own.data_centre
                 && member.readiness == Readiness::Ready
                 && member.store_answers
                 && member.name < self.own.name
         };
-        let before = self.living_others(now).filter(goes_before).count();
+        let before = self.alive_others(now).filter(is_preferred).count();
         is_alone || before < self.config.close_followers
     }
 
-    /// Where the other gateways that live are told news.
+    /// Addresses for gossip of the other gateways that are alive.
     pub fn alive_peers(&self, now: Millis) -> Vec<SocketAddr> {
-        self.living_others(now).map(|member| member.peers_at).collect()
+        self.alive_others(now).map(|member| member.peers_at).collect()
     }
 
-    /// Addresses of the other instances whose gateways live and serve.
+    /// Addresses of the other instances whose gateways are alive and ready.
     pub fn ready_instances(&self, now: Millis) -> Vec<IpAddr> {
-        let ready = self.living_others(now).filter(|member| member.readiness == Readiness::Ready);
+        let ready = self.alive_others(now).filter(|member| member.readiness == Readiness::Ready);
         ready.map(|member| member.callers_at.ip()).collect()
     }
 
-    /// How long a lead takes to be known by all: in each round at least as many gateways again hear of
-    /// it. Those that were silent count, since whoever has just started has heard of few that live.
+    /// Time until all gateways know of a new leader: in each gossip round the number of gateways
+    /// that know at least doubles. Suspected gateways count, since a gateway that has just started
+    /// knows few that are alive.
     pub fn propagation_time(&self) -> Millis {
         let known = 1 + self.others.len();
-        let doublings = u64::from(usize::BITS - known.leading_zeros()) + SPREAD_TAIL;
-        Millis(self.config.gossip_interval.0 * doublings.max(LEAST_SPREAD))
+        let doublings = u64::from(usize::BITS - known.leading_zeros()) + EXTRA_GOSSIP_ROUNDS;
+        Millis(self.config.gossip_interval.0 * doublings.max(MIN_GOSSIP_ROUNDS))
     }
 
-    /// Whether this gateway leads, tells of it, and has heard of no higher token: only then it begins
-    /// to change a map. One that does not tell may have been replaced, and servers need not check
-    /// fencing tokens.
+    /// Whether this gateway leads, advertises its leadership, and knows of no higher token. A
+    /// change of a map begins only then. A leader that does not advertise may have been replaced,
+    /// and servers need not check fencing tokens.
     pub fn may_send_orders(&self, now: Millis) -> bool {
         self.own.leader_fencing_token > 0 && self.should_lead(now)
     }
 
-    /// Another gateway of the own data centre to exchange news with, drawn at random.
+    /// Another gateway of the own data centre to gossip with, picked at random.
     pub fn random_local_peer<R: Rng>(&self, now: Millis, rng: &mut R) -> Option<SocketAddr> {
-        let is_near = |member: &&Member| member.data_centre == self.own.data_centre;
-        let near: Vec<&Member> = self.living_others(now).filter(is_near).collect();
-        (!near.is_empty()).then(|| near[rng.random_range(0..near.len())].peers_at)
+        let is_local = |member: &&Member| member.data_centre == self.own.data_centre;
+        let local: Vec<&Member> = self.alive_others(now).filter(is_local).collect();
+        (!local.is_empty()).then(|| local[rng.random_range(0..local.len())].peers_at)
     }
 
-    /// Another gateway to exchange news with, drawn at random; now and then one that was silent.
+    /// Another gateway to gossip with, picked at random; now and then a suspected one.
     pub fn random_peer<R: Rng>(&self, now: Millis, rng: &mut R) -> Option<SocketAddr> {
-        let silent_too = rng.random_range(0..SILENT_DRAWS) == 0 || self.count_alive(now) == 1;
+        let include_suspected =
+            rng.random_range(0..SUSPECTED_PICK_ONE_IN) == 0 || self.count_alive(now) == 1;
         let all = self.others.values();
-        let open: Vec<&Heard> = all.filter(|heard| silent_too || self.lives(heard, now)).collect();
+        let open: Vec<&Entry> =
+            all.filter(|entry| include_suspected || self.is_alive(entry, now)).collect();
         if open.is_empty() {
             return None;
         }
         Some(open[rng.random_range(0..open.len())].member.peers_at)
     }
 
-    /// The other gateways that live, by name.
-    fn living_others(&self, now: Millis) -> impl Iterator<Item = &Member> + Clone {
-        let living = self.others.values().filter(move |heard| self.lives(heard, now));
-        living.map(|heard| &heard.member)
+    /// The other gateways that are alive, by name.
+    fn alive_others(&self, now: Millis) -> impl Iterator<Item = &Member> + Clone {
+        let alive = self.others.values().filter(move |entry| self.is_alive(entry, now));
+        alive.map(|entry| &entry.member)
     }
 
-    fn word(&self, heard: &Heard, now: Millis) -> Option<MemberRecord> {
-        Some(MemberRecord { member: heard.member.clone(), age: self.told_age(heard, now)? })
+    fn record(&self, entry: &Entry, now: Millis) -> Option<MemberRecord> {
+        Some(MemberRecord { member: entry.member.clone(), age: self.advertised_age(entry, now)? })
     }
 
-    /// The age with which a gateway is told of; `None` if it is not. One that is about to be forgotten
-    /// is not told of any more: whoever has just forgotten it would learn of it anew.
-    fn told_age(&self, heard: &Heard, now: Millis) -> Option<Millis> {
-        heard.age(now).filter(|age| *age + self.config.suspect_after < self.config.forget_after)
+    /// The age to send with a record; `None` if the record is not sent. A gateway that is about to
+    /// be removed is not advertised any more: a peer that has just removed it would add it again.
+    fn advertised_age(&self, entry: &Entry, now: Millis) -> Option<Millis> {
+        entry.age(now).filter(|age| *age + self.config.suspect_after < self.config.remove_after)
     }
 
-    /// Whether news of a gateway came lately, and of a time that is not long past: whoever has just
-    /// started, was cut off or had forgotten it is told of those that are gone, too. Who lives has news
-    /// spread within the time added, so nobody who lives is taken for silent for it.
-    fn lives(&self, heard: &Heard, now: Millis) -> bool {
+    /// Whether a record of a gateway arrived lately, and of a time that is not long past. The
+    /// second check is needed since a gateway that has just started, was cut off or had removed
+    /// another one receives records of stopped gateways, too. Records of a gateway that is alive
+    /// arrive within the added propagation time, so that this check does not make it suspected.
+    fn is_alive(&self, entry: &Entry, now: Millis) -> bool {
         let oldest = self.config.suspect_after + self.propagation_time();
-        let lived_lately = heard.age(now).is_some_and(|age| age < oldest);
-        lived_lately && !heard.unreachable && now.since(heard.taken_at) < self.config.suspect_after
+        let was_alive_lately = entry.age(now).is_some_and(|age| age < oldest);
+        was_alive_lately
+            && !entry.unreachable
+            && now.since(entry.updated_at) < self.config.suspect_after
     }
 }
--- a/crates/core/src/direct/members/liveness.rs
+++ b/crates/core/src/direct/members/liveness.rs
@@ -1,72 +1,74 @@
-//! What changed in whom a gateway takes for living, from one look to the next.
+//! Changes in the liveness of other gateways, for the log.
+//! Input is the liveness of all known gateways; the state is that of the previous call.
+//! This module decides which gateways differ from the previous call.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::fmt::Formatter;
 use std::fmt::Result;
 
-/// How a gateway is seen.
+/// State of a gateway in the failure detector.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// Heard of lately: callers may be sent there.
+    /// A recent record of it arrived: callers may be sent there.
     Alive,
-    /// Known, and not heard of lately.
+    /// Known, without a recent record.
     Suspected,
     /// Not known any more.
-    Forgotten,
+    Removed,
 }
 
-/// A gateway that is seen otherwise than at the look before.
+/// A gateway whose state differs from that of the previous call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LivenessChange {
     /// Name of its instance.
     pub name: String,
-    /// Its newest heartbeat that is known; while it is the same, nothing new was heard of it.
+    /// Its newest known heartbeat; while it is the same, no newer record arrived.
     pub heartbeat: u64,
-    /// How it is seen now.
+    /// Its state now.
     pub liveness: Liveness,
 }
 
 impl Display for LivenessChange {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> Result {
-        let seen = match self.liveness {
+        let state = match self.liveness {
             Liveness::Alive => "lives",
             Liveness::Suspected => "is silent",
-            Liveness::Forgotten => "is forgotten",
+            Liveness::Removed => "is forgotten",
         };
-        write!(formatter, "{} {seen} at heartbeat {}", self.name, self.heartbeat)
+        write!(formatter, "{} {state} at heartbeat {}", self.name, self.heartbeat)
     }
 }
 
-/// The look before.
+/// States at the previous call.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LivenessTracker {
-    seen: BTreeMap<String, (u64, Liveness)>,
+    previous: BTreeMap<String, (u64, Liveness)>,
 }
 
 impl LivenessTracker {
-    /// Takes all that are known by name, each with its heartbeat and how it is seen, and returns what
+    /// Stores all known gateways by name, each with its heartbeat and state, and returns what
     /// changed.
     pub(super) fn update(
         &mut self,
         mut known: BTreeMap<String, (u64, Liveness)>,
     ) -> Vec<LivenessChange> {
         let mut changed = Vec::new();
-        self.seen.retain(|name, (heartbeat, liveness)| {
-            let (newest, seen) = known.remove(name).unwrap_or((*heartbeat, Liveness::Forgotten));
-            if seen != *liveness {
+        self.previous.retain(|name, (heartbeat, liveness)| {
+            let (newest, state) = known.remove(name).unwrap_or((*heartbeat, Liveness::Removed));
+            if state != *liveness {
                 changed.push(LivenessChange {
                     name: name.clone(),
                     heartbeat: newest,
-                    liveness: seen,
+                    liveness: state,
                 });
             }
-            (*heartbeat, *liveness) = (newest, seen);
-            seen != Liveness::Forgotten
+            (*heartbeat, *liveness) = (newest, state);
+            state != Liveness::Removed
         });
         for (name, (heartbeat, liveness)) in known {
             changed.push(LivenessChange { name: name.clone(), heartbeat, liveness });
-            self.seen.insert(name, (heartbeat, liveness));
+            self.previous.insert(name, (heartbeat, liveness));
         }
         changed
     }
--- a/crates/core/src/direct/members/record.rs
+++ b/crates/core/src/direct/members/record.rs
@@ -1,4 +1,6 @@
-//! What gateways tell each other of gateways.
+//! Records of gateways that gateways send each other: full records, or heartbeats without names.
+//! Both hold the state of one incarnation of a gateway, and the age of that state.
+//! This module decides which of two records is newer, and which gateway is preferred as leader.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -17,18 +19,18 @@
     Leaving,
 }
 
-/// A gateway as it tells of itself.
+/// A gateway as it describes itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
     /// Name of its instance.
     pub name: String,
-    /// Rises each time its process starts.
+    /// Rises with each start of its process.
     pub incarnation: u64,
-    /// Rises while its process lives.
+    /// Rises while its process runs.
     pub heartbeat: u64,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers_at: SocketAddr,
-    /// Where other gateways connect.
+    /// Address for other gateways.
     pub peers_at: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
@@ -42,14 +44,15 @@
     pub leader_fencing_token: u64,
 }
 
-/// Stands for one incarnation of a gateway: a hash of its name and incarnation, the same at all gateways.
+/// Identifies one incarnation of a gateway: a hash of its name and incarnation, the same at all
+/// gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct IncarnationId(pub u64);
 
-/// What changes of a gateway while it lives.
+/// The fields of a gateway that change during one incarnation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Heartbeat {
-    /// Which incarnation of which gateway.
+    /// Incarnation of the gateway.
     pub incarnation_id: IncarnationId,
     /// As [`Member::heartbeat`].
     pub heartbeat: u64,
@@ -59,26 +62,26 @@
     pub store_answers: bool,
     /// As [`Member::leader_fencing_token`].
     pub leader_fencing_token: u64,
-    /// Time since it lived, as far as the one who tells has heard.
+    /// Time since the gateway was alive, as far as the sender knows.
     pub age: Millis,
 }
 
-/// What one gateway tells of another: who it is, and how long ago it lived.
+/// A gateway with all its fields, and the time since it was alive.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberRecord {
     /// The gateway.
     pub member: Member,
-    /// Time since it lived, as far as the one who tells has heard.
+    /// Time since the gateway was alive, as far as the sender knows.
     pub age: Millis,
 }
 
 impl Member {
-    /// Names this incarnation.
+    /// Identifier of this incarnation.
     pub fn incarnation_id(&self) -> IncarnationId {
         IncarnationId(hash::score(self.incarnation, &self.name))
     }
 
-    /// What changes of it, told so long after it lived.
+    /// The heartbeat to send, with the time since the gateway was alive.
     pub fn to_heartbeat(&self, age: Millis) -> Heartbeat {
         Heartbeat {
             incarnation_id: self.incarnation_id(),
@@ -90,20 +93,21 @@
         }
     }
 
-    /// What rises as a gateway lives on, starts anew or changes its state.
-    pub(super) fn moment(&self) -> (u64, u64, Readiness) {
+    /// Order of records of one gateway: it rises with each heartbeat, restart and change of
+    /// readiness.
+    pub(super) fn recency(&self) -> (u64, u64, Readiness) {
         (self.incarnation, self.heartbeat, self.readiness)
     }
 
-    /// Who goes before whom in taking the lead: those with more memory, then by name. A leader reads and
-    /// orders hundreds of ranks, and instances with more memory have the larger links and shares of a
-    /// processor: maps of groups of 96 ranks are in force after 0.25 s where its link has 200 Mbit/s, and
-    /// after 0.5 to 0.9 s where it has 40.
-    pub(super) fn lead_order(&self) -> (Reverse<u64>, &str) {
+    /// Order in which gateways are preferred as leader: those with more memory first, then by name.
+    /// A leader polls and orders hundreds of ranks, and instances with more memory have faster
+    /// links and larger shares of a processor. Maps of groups of 96 ranks are in force after 0.25 s
+    /// if the leader's link has 200 Mbit/s, and after 0.5 to 0.9 s if it has 40.
+    pub(super) fn leadership_order(&self) -> (Reverse<u64>, &str) {
         (Reverse(self.memory_bytes), &self.name)
     }
 
-    pub(super) fn with_beat(&self, beat: &Heartbeat) -> Member {
+    pub(super) fn with_heartbeat(&self, beat: &Heartbeat) -> Member {
         Member {
             heartbeat: beat.heartbeat,
             readiness: beat.readiness,
--- a/crates/core/src/direct/outage.rs
+++ b/crates/core/src/direct/outage.rs
@@ -1,29 +1,31 @@
-//! When callers of a service shall come back while none of its servers can take a request.
+//! Retry-after times for callers of a service while none of its servers can accept a request.
+//! Input are the beginning and end of outages; the state is the expected duration of an outage.
+//! This module decides how long a refused caller is asked to wait.
 //!
-//! Callers come back once or twice, so one that is told too early is lost, and one that is told late
-//! only waits. How long an outage lasts nobody knows when it begins; it is expected to last as long as
-//! the earlier ones did, and at first as long as a group stands and forms anew.
+//! Callers retry once or twice. A caller that retries too early is lost, and one that retries late
+//! only waits longer. The duration of an outage is not known when it begins. It is expected to last
+//! as long as earlier ones did, and at first as long as a group takes to stall and form again.
 
 use crate::clock::Millis;
 use crate::direct::attempts::COME_BACK_MOST;
 use crate::direct::attempts::COME_BACK_NONE;
 
-/// Part of the time to come back over which callers are spread.
+/// Fraction of the remaining time over which retries of callers are spread.
 const JITTER_FRACTION: f64 = 0.25;
 
-/// What is expected of an outage, and what is learned from one that is over.
+/// Expected duration of an outage, and bounds on what is learned from one.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How long the first outage is expected to last: the users' groups stand for 1,500 ms once a rank
-    /// is lost, and take 600 ms to open again.
+    /// Expected duration of the first outage. The users' groups stall for 1,500 ms once a rank is
+    /// lost, and take 600 ms to open again.
     pub initial_estimate: Millis,
-    /// Shortest time to come back.
+    /// Shortest time until a retry.
     pub min_retry_after: Millis,
-    /// Longest time to come back.
+    /// Longest time until a retry.
     pub max_retry_after: Millis,
-    /// Outages that are shorter say nothing: one server of many refused.
+    /// Outages that are shorter do not change the estimate: one server of many refused a request.
     pub min_duration: Millis,
-    /// Part of the newest outage in what is expected.
+    /// Weight of the newest outage in the moving average.
     pub newest_weight: f64,
 }
 
@@ -39,7 +41,7 @@
     }
 }
 
-/// The outages of one service, as one gateway sees them.
+/// The outages of one service, as one gateway observes them.
 #[derive(Clone, Debug)]
 pub struct Outages {
     config: Config,
@@ -48,27 +50,28 @@
 }
 
 impl Outages {
-    /// None was seen yet.
+    /// No outage was observed yet.
     pub fn new(config: Config) -> Outages {
         Outages { config, expected_ms: config.initial_estimate.0 as f64, since: None }
     }
 
-    /// No server could take a request.
+    /// Records that no server could accept a request.
     pub fn began(&mut self, now: Millis) {
         self.since.get_or_insert(now);
     }
 
-    /// A server has taken one.
+    /// Records that a server accepted a request.
     pub fn ended(&mut self, now: Millis) {
         let Some(since) = self.since.take() else { return };
-        let lasted = now.since(since);
-        if lasted >= self.config.min_duration {
-            self.expected_ms += self.config.newest_weight * (lasted.0 as f64 - self.expected_ms);
+        let duration = now.since(since);
+        if duration >= self.config.min_duration {
+            self.expected_ms += self.config.newest_weight * (duration.0 as f64 - self.expected_ms);
         }
     }
 
-    /// When a caller that is refused now shall come back, if the service is out. `fraction` is drawn evenly
-    /// from 0 to 1: callers are spread over a quarter more, or all would come at the same moment.
+    /// Time after which a caller that is refused now is to retry; `None` if the service has no
+    /// outage. `fraction` is drawn uniformly from 0 to 1. It spreads the retries, which would
+    /// otherwise all arrive at the same moment.
     pub fn retry_after(&self, now: Millis, fraction: f64) -> Option<Millis> {
         let Config { min_retry_after, max_retry_after, .. } = self.config;
         let left_ms = self.expected_ms - now.since(self.since?).0 as f64;
@@ -77,8 +80,8 @@
     }
 }
 
-/// A time to come back after `left` that callers share: spread over a quarter more, as `fraction`, drawn evenly
-/// from 0 to 1, says. Never earlier than `left`.
+/// The time `left` until a retry that many callers share, made up to a quarter longer by
+/// `fraction`, which is drawn uniformly from 0 to 1. Never shorter than `left`.
 pub fn add_jitter(left: Millis, fraction: f64) -> Millis {
     left + Millis((left.0 as f64 * JITTER_FRACTION * fraction) as u64)
 }
--- a/crates/core/src/direct/relays.rs
+++ b/crates/core/src/direct/relays.rs
@@ -1,20 +1,22 @@
-//! Gateways through which an order goes that no machine of its group should give.
+//! Choice of the gateway through which the leader relays an order to a rank.
+//! Input are the gateways that are alive and those that did not answer; it keeps the last choice.
+//! This module decides which gateway relays the next order.
 //!
-//! While a pass is held, its group stands still until every rank has been reached again. Whoever gave
-//! the `hold` may freeze or go dark upon it, and a rank whose own machine stands still is reached by
-//! nobody: given through the rank's machine, or through that of another rank, each freeze of 3 to 5 s
-//! held its group for as long. A gateway other than the leader carries no rank, so its freeze costs one
-//! repetition of the order through the next, 250 ms.
+//! While a pass is held, its group stalls until every rank was reached again. The sender of the
+//! `hold` order may freeze just then, and a rank whose own machine is frozen cannot be reached. If
+//! orders are relayed through the rank's machine, or through that of another rank, each freeze of 3
+//! to 5 s stalls the group for as long. A gateway other than the leader carries no rank, so its
+//! freeze costs one retry of the order through the next gateway, 250 ms.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
 
 use crate::clock::Millis;
 
-/// Times of relaying.
+/// Time-outs of relaying.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How long a gateway that gave no answer is passed by. Freezes at the users last 3 to 5 s.
+    /// Time for which a gateway that did not answer is skipped. Freezes at the users last 3 to 5 s.
     pub skip_for: Millis,
 }
 
@@ -24,30 +26,30 @@
     }
 }
 
-/// Which gateway is asked next.
+/// Round-robin choice of the next relay.
 #[derive(Clone, Debug, Default)]
 pub struct Relays {
     config: Config,
-    /// Gateways that gave no answer, and until when each is passed by.
+    /// Gateways that did not answer, and until when each is skipped.
     skipped: HashMap<IpAddr, Millis>,
-    /// The one that was used last: all have their turn, since each relay costs it some processor time.
+    /// The relay that was used last. All are used in turn, since each relay costs processor time.
     last: Option<IpAddr>,
 }
 
 impl Relays {
-    /// The next of these gateways that is not passed by, in rising order from the one used last; `None`
-    /// if there is none.
-    pub fn next(&mut self, living: &[IpAddr], now: Millis) -> Option<IpAddr> {
+    /// The next of these gateways that is not skipped, in rising order from the one used last;
+    /// `None` if there is none.
+    pub fn next(&mut self, alive: &[IpAddr], now: Millis) -> Option<IpAddr> {
         self.skipped.retain(|_, until| *until > now);
         let mut open: Vec<IpAddr> =
-            living.iter().copied().filter(|relay| !self.skipped.contains_key(relay)).collect();
+            alive.iter().copied().filter(|relay| !self.skipped.contains_key(relay)).collect();
         open.sort_unstable();
         let after_last = open.iter().find(|relay| self.last.is_some_and(|last| **relay > last));
         self.last = after_last.or(open.first()).copied();
         self.last
     }
 
-    /// A gateway gave no answer: it is passed by for a while.
+    /// Records that a gateway did not answer: it is skipped for [`Config::skip_for`].
     pub fn mark_unanswered(&mut self, relay: IpAddr, now: Millis) {
         self.skipped.insert(relay, now + self.config.skip_for);
     }
--- a/crates/core/src/direct/replica.rs
+++ b/crates/core/src/direct/replica.rs
@@ -1,29 +1,32 @@
-//! A table of the platform as this process knows it.
+//! Replica of one table of the platform's store, from updates of the store and of peers.
+//! It holds the rows, the revision up to which it is complete, and recent removals.
+//! This module decides which changes of an update are newer, and which changes a peer lacks.
 //!
-//! The store numbers every change with one counter, so two processes can tell which of them knows
-//! more, and hand each other just what is missing. A replica never goes back: what is older than
-//! what it knows is passed over, wherever it comes from.
+//! The store numbers every change with one counter, so two processes can compare what they know and
+//! send each other only the changes that are missing. A replica never goes back: a change that is
+//! older than the known one is ignored, wherever it comes from.
 //!
-//! A store that comes back from an older copy of itself begins a new era, in which its counter goes
-//! on from that of the copy: numbers are given out again, so they compare within one era alone. A
-//! replica enters an era with a whole copy of the table, and tells what it knew and the copy lacks.
+//! A store that is restored from an older copy of itself begins a new era, in which its counter
+//! continues from that of the copy. It uses the same numbers again, so counts compare within one
+//! era alone. A replica enters an era with a complete copy of the table, and returns the rows that
+//! it knew and that the copy lacks.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A moment of the store; of two, the one in the later era is the later one.
+/// A point in the history of the store; of two, the one in the later era is the later one.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Revision {
-    /// How often the store had come back from an older copy.
+    /// Number of times that the store was restored from an older copy.
     pub era: u64,
     /// The store's counter.
     pub count: u64,
 }
 
 impl From<u64> for Revision {
-    /// The count of a store that tells no era.
+    /// The count of a store that sends no era.
     fn from(count: u64) -> Revision {
         Revision { era: 0, count }
     }
@@ -46,18 +49,19 @@
     pub value: Option<String>,
 }
 
-/// What one process can tell another about a table.
+/// Changes of a table, as the store or a peer sends them.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Update {
-    /// All changes up to this one are told or known already.
+    /// The receiver has all changes up to this revision once the update is applied.
     pub revision: Revision,
-    /// Whether rows that are not told do not exist.
+    /// Whether the update is a complete copy: rows that it lacks do not exist.
     pub whole: bool,
     /// The rows.
     pub changes: Vec<Change>,
 }
 
-/// A row as it was known, which the store lacks or has in another form since it came back from an older copy.
+/// A known row that the store lacks, or has in another form, since it was restored from an older
+/// copy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LostRow {
     /// The row's key.
@@ -66,16 +70,17 @@
     pub value: Option<String>,
 }
 
-/// What an update brought.
+/// Result of an update.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Applied {
     /// Keys of the rows that changed.
     pub changed: Vec<String>,
-    /// What was known and is lost to the store; empty unless an era began.
+    /// Known rows that the store has lost; empty unless an era began.
     pub lost: Vec<LostRow>,
 }
 
-/// Removals that are remembered for peers which are behind; older ones need a whole copy.
+/// Removals that are stored for peers with an older revision; peers that need earlier ones get a
+/// complete copy.
 const MAX_REMOVALS: usize = 256;
 
 #[derive(Clone, Debug)]
@@ -91,11 +96,11 @@
     revision: Revision,
     rows: BTreeMap<String, Row>,
     /// Count up to which removals are not known.
-    forgotten: u64,
+    removals_unknown_to: u64,
 }
 
 impl Replica {
-    /// All changes up to this one are known; the first of all: nothing is known.
+    /// All changes up to this revision are known; the default revision if nothing is known.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -105,7 +110,7 @@
         self.rows.get(key).and_then(|row| row.value.as_deref())
     }
 
-    /// When a row changed last.
+    /// Revision of a row's last change.
     pub fn revision_of(&self, key: &str) -> Revision {
         let count = self.rows.get(key).map_or(0, |row| row.revision);
         Revision { era: self.revision.era, count }
@@ -116,26 +121,26 @@
         self.rows.iter().filter_map(|(key, row)| Some((key.as_str(), row.value.as_deref()?)))
     }
 
-    /// Takes an update.
+    /// Applies an update.
     pub fn apply(&mut self, update: &Update) -> Applied {
         match update.revision.era.cmp(&self.revision.era) {
             Ordering::Less => Applied::default(),
             Ordering::Equal => Applied { changed: self.advance(update), lost: Vec::new() },
-            // There is nothing in this era yet to which changes could be added.
+            // The replica has no rows of this era yet to which changes could be added.
             Ordering::Greater if !update.whole => Applied::default(),
             Ordering::Greater => self.begin_era(update),
         }
     }
 
-    /// Takes the first copy of a later era.
+    /// Applies the first complete copy of a later era.
     fn begin_era(&mut self, update: &Update) -> Applied {
         let before = std::mem::take(&mut self.rows);
         self.revision = update.revision;
-        self.forgotten = update.revision.count;
-        let told = update.changes.iter().map(|change| {
+        self.removals_unknown_to = update.revision.count;
+        let received = update.changes.iter().map(|change| {
             (change.key.clone(), Row { revision: change.revision, value: change.value.clone() })
         });
-        self.rows = told.collect();
+        self.rows = received.collect();
         let keys: BTreeSet<&String> = before.keys().chain(self.rows.keys()).collect();
         let value = |rows: &BTreeMap<String, Row>, key: &str| rows.get(key)?.value.clone();
         let changed = keys.into_iter().filter(|key| value(&before, key) != value(&self.rows, key));
@@ -145,29 +150,30 @@
         Applied { changed, lost }
     }
 
-    /// Whether what was known of a row in an earlier era may have been written after the copy that this era began
-    /// with. The copy tells rows with the counts that they had; of one that it lacks nothing more is known.
+    /// Whether a row that was known in an earlier era may have been written after the copy that
+    /// this era began with. The copy has rows with the counts of that time; of a row that it lacks,
+    /// nothing more is known.
     fn has_lost(&self, key: &str, known: &Row) -> bool {
         match self.rows.get(key) {
-            Some(told) => told.revision < known.revision && told.value != known.value,
+            Some(received) => received.revision < known.revision && received.value != known.value,
             None => known.value.is_some(),
         }
     }
 
-    /// Takes an update of the present era, and returns the keys that changed.
+    /// Applies an update of the present era, and returns the keys that changed.
     fn advance(&mut self, update: &Update) -> Vec<String> {
         let count = update.revision.count;
         if update.whole && count < self.revision.count {
-            // An old copy says nothing of the rows that it lacks.
+            // An old copy gives no information on the rows that it lacks.
             return Vec::new();
         }
         let mut changed = Vec::new();
-        // A row of an earlier time that is not known was removed since, and its removal forgotten.
-        let removed_before = if update.whole { 0 } else { self.forgotten };
+        // An older row that is not known was removed since, and its removal is not stored any more.
+        let removed_before = if update.whole { 0 } else { self.removals_unknown_to };
         if update.whole {
-            self.remove_untold(update, &mut changed);
-            // What was removed before this copy was never told: others need a whole one, too.
-            self.forgotten = self.forgotten.max(count);
+            self.remove_missing(update, &mut changed);
+            // The copy lacks removals before its revision: peers need a complete copy, too.
+            self.removals_unknown_to = self.removals_unknown_to.max(count);
         }
         for change in &update.changes {
             let known = self.rows.get(&change.key);
@@ -183,19 +189,19 @@
             }
         }
         self.revision = self.revision.max(update.revision);
-        self.forget_removals();
+        self.drop_removals();
         changed
     }
 
-    /// What a process that knows all up to `revision` lacks; `None` if it lacks nothing.
+    /// Changes that a process lacks which knows all up to `revision`; `None` if it lacks nothing.
     pub fn since(&self, revision: Revision) -> Option<Update> {
         if revision >= self.revision {
             return None;
         }
         let Revision { era, count } = revision;
-        let whole = era < self.revision.era || count < self.forgotten || count == 0;
-        let told = |row: &Row| if whole { row.value.is_some() } else { row.revision > count };
-        let rows = self.rows.iter().filter(|(_, row)| told(row));
+        let whole = era < self.revision.era || count < self.removals_unknown_to || count == 0;
+        let is_sent = |row: &Row| if whole { row.value.is_some() } else { row.revision > count };
+        let rows = self.rows.iter().filter(|(_, row)| is_sent(row));
         let changes = rows.map(|(key, row)| Change {
             key: key.clone(),
             revision: row.revision,
@@ -204,25 +210,25 @@
         Some(Update { revision: self.revision, whole, changes: changes.collect() })
     }
 
-    fn remove_untold(&mut self, update: &Update, changed: &mut Vec<String>) {
+    fn remove_missing(&mut self, update: &Update, changed: &mut Vec<String>) {
         for (key, row) in &mut self.rows {
-            let told = update.changes.iter().any(|change| change.key == *key);
+            let received = update.changes.iter().any(|change| change.key == *key);
             let count = update.revision.count;
-            if !told && row.value.is_some() && row.revision <= count {
+            if !received && row.value.is_some() && row.revision <= count {
                 *row = Row { revision: count, value: None };
                 changed.push(key.clone());
             }
         }
     }
 
-    fn forget_removals(&mut self) {
+    fn drop_removals(&mut self) {
         let removals = self.rows.values().filter(|row| row.value.is_none()).count();
         if removals <= MAX_REMOVALS {
             return;
         }
         let removed = |row: &Row| row.value.is_none();
         let latest = self.rows.values().filter(|row| removed(row)).map(|row| row.revision).max();
-        self.forgotten = self.forgotten.max(latest.unwrap_or_default());
+        self.removals_unknown_to = self.removals_unknown_to.max(latest.unwrap_or_default());
         self.rows.retain(|_, row| !removed(row));
     }
 }
--- a/crates/core/tests/gateways.rs
+++ b/crates/core/tests/gateways.rs
@@ -82,7 +82,7 @@
 #[test]
 fn a_gateway_whose_heartbeat_stands_still_is_not_given_to_callers() {
     let config =
-        Config { suspect_after: Millis(3_000), forget_after: Millis(60_000), ..Config::default() };
+        Config { suspect_after: Millis(3_000), remove_after: Millis(60_000), ..Config::default() };
     let mut members = Members::new(config, member("a", 1));
     members.set_readiness(Readiness::Ready);
     members.apply_record(&fresh(&member("b", 1)), Millis(0));
@@ -132,7 +132,7 @@
 #[test]
 fn whoever_leads_goes_on_until_it_is_silent() {
     let config =
-        Config { suspect_after: Millis(3_000), forget_after: Millis(60_000), ..Config::default() };
+        Config { suspect_after: Millis(3_000), remove_after: Millis(60_000), ..Config::default() };
     let mut members = Members::new(config, member("b", 1));
     members.set_readiness(Readiness::Ready);
     assert!(members.should_lead(Millis(0)), "it knows no other");
