--- a/crates/core/src/direct/members.rs
+++ b/crates/core/src/direct/members.rs
@@ -1,6 +1,6 @@
 //! Membership table of the gateways: records from peers and rows of the platform's table go in.
 //! It keeps the newest heartbeat of each gateway and the time since that gateway was alive.
-//! The table decides which gateways callers get, which one leads, and which follow the store closely.
+//! The table decides which gateways callers get, which one leads and which follow the store closely.
 //!
 //! Each gateway increments a heartbeat and gossips it to a few peers, with the newest heartbeats
 //! that it knows of all others. A gateway whose heartbeat does not advance is suspected and is no
--- a/crates/core/src/direct/relays.rs
+++ b/crates/core/src/direct/relays.rs
@@ -1,4 +1,4 @@
-//! Choice of the gateway through which the leader relays an order to a rank.
+//! Choice of the gateway that relays an order which no machine of its group is to send.
 //! Input are the gateways that are alive and those that did not answer; it keeps the last choice.
 //! This module decides which gateway relays the next order.
 //!
--- a/crates/core/tests/departed.rs
+++ b/crates/core/tests/departed.rs
@@ -1,10 +1,11 @@
-//! Whoever has left stays gone, whatever is still told of it.
+//! Tests that a stopped gateway is not given to callers again, whatever its peers still advertise.
 //!
-//! Seen: 59 s after a gateway had lost power for good, the others gave it to callers again, for five
-//! seconds. Each forgets a gateway that was silent for 60 s, at moments of its own; those that still
-//! remembered it told of it, and whoever had forgotten it took the word of it, with no age, for a sign
-//! of life. The log showed it: forgotten at heartbeat 68, and 0.2 s later living at heartbeat 68.
-//! Whoever starts, comes back from a cut or reads the table of gateways met the same word.
+//! The failure: 59 s after a gateway had lost power for good, the others gave it to callers again
+//! for five seconds. Each gateway removes a suspected one after 60 s, at a time of its own.
+//! Gateways that still knew it advertised it, and those that had removed it took a record without
+//! an age as a sign that it was alive: removed at heartbeat 68, and alive 0.2 s later at heartbeat
+//! 68. Gateways that start, return from a cut or read the table of gateways receive the same
+//! records.
 
 mod fleet;
 
@@ -29,12 +30,12 @@
     fleet
 }
 
-/// Lets time pass, and fails once somebody names a gateway that is long off.
+/// Advances the time, and fails if a gateway gives one to callers that stopped long ago.
 fn pass(fleet: &mut Fleet, time: Millis) {
     let end = fleet.now + time;
     while fleet.now < end {
         fleet.step();
-        let named = fleet.named_though_long_off();
+        let named = fleet.given_though_stopped();
         assert!(named.is_empty(), "at {:?}: {named:?}", fleet.now);
     }
 }
@@ -44,24 +45,24 @@
     for seed in 0..8 {
         let mut fleet = fleet_of(7, seed);
         pass(&mut fleet, Millis(4_000));
-        fleet.off(5);
+        fleet.stop(5);
         pass(&mut fleet, Millis(200_000));
-        assert_eq!(fleet.not_named_though_running(), [], "seed {seed}");
+        assert_eq!(fleet.missing_though_running(), [], "seed {seed}");
     }
 }
 
-/// Troubles in one schedule.
+/// Faults in one schedule.
 const STEPS: Range<usize> = 0..30;
 
-/// Looks at who is known to whom at the end of a schedule.
+/// Checks at the end of a schedule of which gateways know each other.
 const SAMPLES: usize = 50;
 
-/// Gateways go off and come back, new ones start, halves of the fleet are cut off from each other.
-fn trouble(fleet: &mut Fleet, rng: &mut ChaCha8Rng) {
-    let (running, gone) = (fleet.running(), fleet.gone());
+/// Gateways stop and start again, new ones start, parts of the fleet are cut off from each other.
+fn inject_fault(fleet: &mut Fleet, rng: &mut ChaCha8Rng) {
+    let (running, stopped) = (fleet.running(), fleet.stopped());
     match rng.random_range(0..6) {
-        0 | 1 if running.len() > 3 => fleet.off(running[rng.random_range(0..running.len())]),
-        2 if !gone.is_empty() => fleet.start_again(gone[rng.random_range(0..gone.len())]),
+        0 | 1 if running.len() > 3 => fleet.stop(running[rng.random_range(0..running.len())]),
+        2 if !stopped.is_empty() => fleet.start_again(stopped[rng.random_range(0..stopped.len())]),
         3 if running.len() < 14 => fleet.start(),
         4 => fleet.cut = Some(rng.random_range(1..8)),
         _ => fleet.cut = None,
@@ -76,7 +77,7 @@
         let mut fleet = fleet_of(8, seed);
         pass(&mut fleet, Millis(5_000));
         for _ in STEPS {
-            trouble(&mut fleet, &mut rng);
+            inject_fault(&mut fleet, &mut rng);
             pass(&mut fleet, Millis(rng.random_range(200..15_000)));
         }
         fleet.cut = None;
@@ -84,25 +85,27 @@
         pass(&mut fleet, Millis(75_000));
         for _ in 0..SAMPLES {
             pass(&mut fleet, STEP);
-            missed += fleet.not_named_though_running().len();
+            missed += fleet.missing_though_running().len();
             pairs += fleet.running().len().pow(2);
         }
     }
-    // News of one that runs fail to come for three seconds by chance, in a few of ten thousand looks.
-    let part = missed as f64 / pairs as f64;
-    assert!(part < 5e-4, "who runs is known: {missed} of {pairs}");
+    // Records of a running gateway fail to arrive for three seconds by chance, in a few of ten
+    // thousand checks.
+    let fraction = missed as f64 / pairs as f64;
+    assert!(fraction < 5e-4, "running gateways are known: {missed} of {pairs}");
 }
 
-/// Gateways that lost power have left their rows behind. Each gateway asked them now and then, and counted
-/// them in waiting to take the lead, for as long as the table stood.
+/// Guards against rows that gateways leave behind when they lose power. Each gateway contacts the
+/// listed ones now and then, and counts them in the delay before it claims leadership, until their
+/// rows are removed.
 #[test]
 fn rows_of_gateways_that_are_gone_are_removed_and_those_of_a_cut_come_back() {
     let mut fleet = fleet_of(7, 3);
     pass(&mut fleet, Millis(4_000));
-    fleet.off(1);
-    fleet.off(5);
+    fleet.stop(1);
+    fleet.stop(5);
     pass(&mut fleet, Millis(500_000));
-    assert_eq!(fleet.listed().len(), 7, "they may come back");
+    assert_eq!(fleet.listed().len(), 7, "they may start again");
     pass(&mut fleet, Millis(300_000));
     assert_eq!(fleet.listed(), fleet.running());
     // Both sides reach the store, and not each other.
@@ -111,11 +114,11 @@
     fleet.cut = None;
     pass(&mut fleet, Millis(75_000));
     assert_eq!(fleet.listed(), fleet.running());
-    assert_eq!(fleet.not_named_though_running(), []);
+    assert_eq!(fleet.missing_though_running(), []);
 }
 
-/// A row that was removed is remembered for a while only, and an answer that was on its way since
-/// before may still name it.
+/// Guards against a removed row that returns. Its removal is stored for a limited time only, and an
+/// answer that was sent before the removal may still contain the row.
 #[test]
 fn a_row_that_was_removed_does_not_come_back_by_an_old_answer() {
     let row = |number: u64, revision, value: Option<&str>| Change {
@@ -127,7 +130,7 @@
     let on_its_way =
         Update { revision: 1.into(), whole: false, changes: vec![row(0, 1, Some("ready"))] };
     replica.apply(&on_its_way);
-    // More removals than are remembered.
+    // More removals than are stored.
     for number in 0..400 {
         let revision = 2 + 2 * number;
         let listed = row(number, revision, Some("ready"));
@@ -144,8 +147,8 @@
     assert_eq!(replica.get("s0"), None, "it was removed long ago");
 }
 
-/// Guards against parts of what all gateways may send together that are too large, as some of them are not
-/// listed for a while: whoever is cut off keeps its own part.
+/// Guards against shares of a limit for all gateways that are too large, because some gateways are
+/// not listed for a while. A gateway that is cut off keeps its own share.
 #[test]
 fn gateways_whose_rows_are_lost_count_among_those_that_share() {
     let mut members = Members::new(Config::default(), numbered(0, 1));
@@ -159,7 +162,7 @@
         members.remove_expired(Millis(100_000));
         assert_eq!(members.fleet_size(Millis(100_000)), Some(7));
     }
-    // Those that nobody wrote again are gone by the time at which their rows would be removed.
+    // Rows that were not written again do not count after the time at which they would be removed.
     members.apply_table(&listed[..3], Millis(700_200));
     assert_eq!(members.fleet_size(Millis(700_200)), Some(3));
 }
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -291,7 +291,7 @@
     assert!(take("notes", 1, 1), "each service by itself");
 }
 
-/// SlowServerReports were told for ever, and without their age: a gateway that started long after a leader had
+/// Reports were told for ever, and without their age: a gateway that started long after a leader had
 /// gone left servers alone that had been slow once.
 #[test]
 fn a_finding_is_as_old_as_it_was_told_and_is_told_no_more_once_it_holds_no_more() {
--- a/crates/core/tests/direct_tables.rs
+++ b/crates/core/tests/direct_tables.rs
@@ -1,4 +1,6 @@
-//! What a gateway knows: routes and accounts, replicas of tables.
+//! Tests of the configuration in force and of the replicas of tables at a gateway. They guard
+//! against requests that get the wrong route or account, and against replicas that differ from the
+//! store's table at their revision.
 
 mod support;
 
@@ -66,7 +68,7 @@
     assert_eq!(known.as_deref(), Some("paper"));
 }
 
-/// A store with one table, kept as the list of all its changes.
+/// A store with one table, as the list of all its changes.
 #[derive(Default)]
 struct History(Vec<Change>);
 
@@ -77,7 +79,7 @@
         self.0.push(Change { key: key.to_string(), revision, value });
     }
 
-    /// The slow, obvious way: all changes up to a revision, in order.
+    /// Reference model: all changes up to a revision, in order.
     fn rows(&self, revision: u64) -> BTreeMap<String, String> {
         let mut rows = BTreeMap::new();
         for change in self.0.iter().filter(|change| change.revision <= revision) {
@@ -112,8 +114,9 @@
 proptest! {
     #![proptest_config(seeded(400, "tests/direct_tables.regressions"))]
 
-    /// Two gateways, fed by the store and by each other in any order, old copies among them: each
-    /// holds exactly the store's rows at its revision, and its revision never falls.
+    /// Guards against replicas that lose or revive rows. Two gateways get updates from the store
+    /// and from each other in any order, old copies among them. Each holds exactly the store's rows
+    /// at its revision, and its revision never falls.
     #[test]
     fn replicas_are_the_store_at_their_revision(
         changes in vec((0u8..6, proptest::option::of(0u8..4)), 1..40),
@@ -125,13 +128,13 @@
         }
         let newest = history.0.len() as u64;
         let mut replicas = [Replica::default(), Replica::default()];
-        for (step, index, part) in steps {
+        for (step, index, fraction) in steps {
             let known = replicas[index].revision();
             let before = known.count;
-            let upto = (part * newest as f64) as u64;
+            let upto = (fraction * newest as f64) as u64;
             let update = match step {
                 0 => Some(history.whole(upto)),
-                // The feed goes on from what is known.
+                // The feed continues from the known revision.
                 1 if before > 0 => Some(history.since(before, before.max(upto))),
                 _ => replicas[1 - index].since(known),
             };
--- a/crates/core/tests/eras.rs
+++ b/crates/core/tests/eras.rs
@@ -1,4 +1,7 @@
-//! A store that comes back from an older copy of itself, and what gateways know meanwhile.
+//! Tests of a store that is restored from an older copy of itself, which begins a new era. Its
+//! counter goes back then, and rows are lost. The tests guard against replicas that mix revisions
+//! of two eras, fencing tokens that are granted twice, and lost rows that are dropped too early or
+//! held for ever.
 
 mod support;
 
@@ -16,7 +19,7 @@
 use proptest::prelude::*;
 use support::seeded;
 
-/// One table of a store, each era kept as the list of all its changes; the slow, obvious way.
+/// One table of a store, with the list of all changes of each era: a simple reference model.
 #[derive(Clone, Default)]
 struct History(Vec<Vec<Change>>);
 
@@ -36,7 +39,7 @@
         changes.push(Change { key, revision: changes.len() as u64 + 1, value });
     }
 
-    /// It comes back without its newest changes.
+    /// Restores the store without its newest changes.
     fn restore(&mut self, lost: usize) {
         let mut copy = self.0.last().expect("there is an era").clone();
         copy.truncate(copy.len().saturating_sub(lost));
@@ -62,7 +65,8 @@
         Update { revision, whole: true, changes }
     }
 
-    /// What a waiting call tells; nothing where the store does not have the revision asked for.
+    /// The answer of a call that waits for changes; `None` if the store does not have the requested
+    /// revision.
     fn since(&self, from: Revision, to: Revision) -> Option<Update> {
         let is_known = from.era == to.era && from.count > 0 && from.count <= to.count;
         let changes = &self.0[to.era as usize];
@@ -81,29 +85,29 @@
 enum Step {
     Write(u8, Option<u8>),
     Restore(usize),
-    /// A gateway reads the whole table, as it was some changes and eras ago.
+    /// A gateway reads the complete table, as it was some changes and eras ago.
     Read(usize, u64, u64),
-    /// A gateway hears what changed.
+    /// A gateway receives what changed from the store.
     Follow(usize),
-    /// A gateway hears from another one.
-    Hear(usize, usize),
+    /// A gateway receives what it lacks from another one.
+    Gossip(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0u8..6, proptest::option::of(0u8..4)).prop_map(|(key, value)| Step::Write(key, value)),
         1 => (0usize..12).prop_map(Step::Restore),
-        2 => (0usize..3, 0u64..4, 0u64..2).prop_map(|(who, late, eras)| Step::Read(who, late, eras)),
+        2 => (0usize..3, 0u64..4, 0u64..2).prop_map(|(gateway, late, eras)| Step::Read(gateway, late, eras)),
         3 => (0usize..3).prop_map(Step::Follow),
-        3 => (0usize..3, 0usize..3).prop_map(|(from, to)| Step::Hear(from, to)),
+        3 => (0usize..3, 0usize..3).prop_map(|(from, to)| Step::Gossip(from, to)),
     ]
 }
 
 proptest! {
     #![proptest_config(seeded(600, "tests/eras.regressions"))]
 
-    /// Guards against revisions of one era that are taken for those of another: each replica holds exactly the
-    /// store's rows at its revision, whatever comes late, and never goes back.
+    /// Guards against revisions of one era that are compared with those of another. Each replica
+    /// holds exactly the store's rows at its revision, whatever arrives late, and never goes back.
     #[test]
     fn replicas_are_the_store_at_their_revision_in_every_era(steps in vec(step(), 1..120)) {
         let mut history = History::begin(Vec::new());
@@ -117,19 +121,19 @@
                     history.restore(lost);
                     history.write(0, Some(0));
                 }
-                Step::Read(who, late, eras) => {
+                Step::Read(gateway, late, eras) => {
                     let newest = history.newest();
                     let era = newest.era.saturating_sub(eras);
                     let all = history.0[era as usize].len() as u64;
                     let revision = Revision { era, count: all.saturating_sub(late).max(1) };
-                    replicas[who].apply(&history.whole(revision));
+                    replicas[gateway].apply(&history.whole(revision));
                 }
-                Step::Follow(who) => {
-                    if let Some(update) = history.since(before[who], history.newest()) {
-                        replicas[who].apply(&update);
+                Step::Follow(gateway) => {
+                    if let Some(update) = history.since(before[gateway], history.newest()) {
+                        replicas[gateway].apply(&update);
                     }
                 }
-                Step::Hear(from, to) => {
+                Step::Gossip(from, to) => {
                     if let Some(update) = replicas[from].since(before[to]) {
                         replicas[to].apply(&update);
                     }
@@ -144,8 +148,8 @@
         }
     }
 
-    /// Guards against a token that is given out twice: by claims of several eras, each from a row that may be
-    /// lost, by claimants that have heard of none.
+    /// Guards against a token that is granted twice: by claims of several eras, each from a row
+    /// that may be lost, by claimants that know no earlier token.
     #[test]
     fn tokens_rise_from_claim_to_claim_whatever_the_store_loses(
         claims in vec((proptest::bool::weighted(0.3), 0usize..4), 1..60),
@@ -171,7 +175,8 @@
     LostRow { key: key.to_owned(), value: value.map(str::to_owned) }
 }
 
-/// Guards against what was known of rows being forgotten with the era, and against its lasting for ever.
+/// Guards against known values of rows that are dropped when an era begins, and against values that
+/// are held for ever.
 #[test]
 fn what_a_copy_lacks_holds_until_it_is_written_again_or_its_time_is_over() {
     let mut replica = Replica::default();
@@ -205,12 +210,12 @@
         [Some("ready"), Some("leaving"), None, Some("ready")].map(|it| it.map(str::to_owned));
     assert_eq!(values(&held, &replica), known);
     assert!(held.settle(&replica, begin + Millis(1_900)).is_empty());
-    // A second drill: what was held stays so, for as long again.
+    // The store is restored a second time: held rows stay held, for as long again.
     let second = Update { revision: Revision { era: 2, count: 4 }, ..copy(0) };
     let taken = replica.apply(&second);
     held.begin(taken.lost, &replica, begin + Millis(1_900));
     assert_eq!(values(&held, &replica), known);
-    // One writes again, one does not come back, the other two lapse.
+    // Two rows are written again, and one is not and lapses.
     let again = Update {
         revision: Revision { era: 2, count: 6 },
         whole: false,
--- a/crates/core/tests/fleet/gossip.rs
+++ b/crates/core/tests/fleet/gossip.rs
@@ -1,17 +1,20 @@
-//! One exchange of news between two gateways, without a network.
+//! One gossip exchange between two gateways, without a network.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::members::Members;
 
-/// Two gateways exchange news, as `direct/src/peers` does; each has a clock of its own.
-pub fn exchange(asks: (&mut Members, Millis), asked: (&mut Members, Millis)) {
-    let ((asks, asks_now), (asked, asked_now)) = (asks, asked);
-    let (own, told) = (asks.own_record(), asks.heartbeats(asks_now));
-    asked.apply_record(&own, asked_now);
-    let wanted = asked.apply_heartbeats(&told, asked_now);
+/// One gossip exchange, as `direct/src/peers` does it; each gateway has a clock of its own.
+pub fn exchange(initiator: (&mut Members, Millis), responder: (&mut Members, Millis)) {
+    let ((initiator, initiator_now), (responder, responder_now)) = (initiator, responder);
+    let (own, sent) = (initiator.own_record(), initiator.heartbeats(initiator_now));
+    responder.apply_record(&own, responder_now);
+    let wanted = responder.apply_heartbeats(&sent, responder_now);
     let (lacking, answer) =
-        (asked.records_missing_from(&told, asked_now), asked.heartbeats(asked_now));
-    lacking.iter().for_each(|word| asks.apply_record(word, asks_now));
-    asks.apply_heartbeats(&answer, asks_now);
-    asks.records_of(&wanted, asks_now).iter().for_each(|word| asked.apply_record(word, asked_now));
+        (responder.records_missing_from(&sent, responder_now), responder.heartbeats(responder_now));
+    lacking.iter().for_each(|record| initiator.apply_record(record, initiator_now));
+    initiator.apply_heartbeats(&answer, initiator_now);
+    initiator
+        .records_of(&wanted, initiator_now)
+        .iter()
+        .for_each(|record| responder.apply_record(record, responder_now));
 }
--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -1,4 +1,6 @@
-//! Gateways that exchange news without a network: they start, go off, are cut off from each other.
+//! Simulated gateways that gossip without a network. They start, stop without notice, and are cut
+//! off from each other; each has a membership table. The fleet reports gateways that callers get
+//! although they stopped, and running ones that are missing.
 
 pub mod gossip;
 
@@ -18,19 +20,19 @@
 /// Time between two steps of a fleet.
 pub const STEP: Millis = Millis(100);
 
-/// Time between two looks of a gateway at the table of gateways.
+/// Time between two reads of the table of gateways by one gateway.
 const TABLE_EVERY_MS: u64 = 60_000;
 
-/// Rounds of news from one with a seed to the next.
+/// Gossip rounds from one with a seed to the next.
 const SEED_ROUNDS: u64 = 8;
 
-/// Gateways that are known as seeds.
+/// Number of gateways that are seeds.
 const SEEDS: usize = 2;
 
 /// The first port of callers: gateway number `n` has `FIRST_PORT + n`.
 const FIRST_PORT: u16 = 1_000;
 
-/// The gateway with a number; its addresses say which it is.
+/// The gateway with a number; its addresses contain the number.
 pub fn numbered(number: usize, incarnation: u64) -> Member {
     let address = address(number);
     Member {
@@ -47,7 +49,7 @@
     }
 }
 
-/// Where the gateway with a number is.
+/// Address of the gateway with a number.
 pub fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + number as u16))
 }
@@ -60,7 +62,7 @@
 }
 
 impl Process {
-    /// A moment by this process's clock, which begins with it.
+    /// The present time by this process's clock, which starts with the process.
     fn clock(&self, now: Millis) -> Millis {
         now.since(self.started_at)
     }
@@ -68,12 +70,12 @@
 
 /// Gateways by number, and the table that they are listed in.
 pub struct Fleet {
-    /// The present moment.
+    /// The present time.
     pub now: Millis,
     running: Vec<Option<Process>>,
-    off_at: Vec<Millis>,
+    stopped_at: Vec<Millis>,
     listed: BTreeMap<usize, Member>,
-    /// While it is set, numbers below it and the others do not reach each other.
+    /// While it is set, gateways with lower numbers and the others cannot reach each other.
     pub cut: Option<usize>,
     rng: ChaCha8Rng,
 }
@@ -84,21 +86,21 @@
         Fleet {
             now: Millis(10_000),
             running: Vec::new(),
-            off_at: Vec::new(),
+            stopped_at: Vec::new(),
             listed: BTreeMap::new(),
             cut: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// One more gateway starts, lists itself and reads the table.
+    /// Starts one more gateway, which lists itself and reads the table.
     pub fn start(&mut self) {
         self.running.push(None);
-        self.off_at.push(Millis::ZERO);
+        self.stopped_at.push(Millis::ZERO);
         self.start_again(self.running.len() - 1);
     }
 
-    /// A gateway that is off starts again.
+    /// Starts a stopped gateway again.
     pub fn start_again(&mut self, number: usize) {
         let own = numbered(number, self.now.0);
         self.listed.insert(number, own.clone());
@@ -109,10 +111,10 @@
         self.running[number] = Some(process);
     }
 
-    /// A gateway goes off without a word.
-    pub fn off(&mut self, number: usize) {
+    /// Stops a gateway without notice.
+    pub fn stop(&mut self, number: usize) {
         self.running[number] = None;
-        self.off_at[number] = self.now;
+        self.stopped_at[number] = self.now;
     }
 
     fn table(&self) -> Vec<Member> {
@@ -129,12 +131,12 @@
         (0..self.running.len()).filter(|number| self.running[*number].is_some()).collect()
     }
 
-    /// Numbers of the gateways that are off.
-    pub fn gone(&self) -> Vec<usize> {
+    /// Numbers of the gateways that are stopped.
+    pub fn stopped(&self) -> Vec<usize> {
         (0..self.running.len()).filter(|number| self.running[*number].is_none()).collect()
     }
 
-    /// Time passes, and whoever's round it is exchanges news.
+    /// Advances the time by [`STEP`]; each gateway whose gossip round is due starts an exchange.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         for number in self.running() {
@@ -155,15 +157,15 @@
         members.advance_heartbeat();
         if now.0 % TABLE_EVERY_MS < members.gossip_interval().0 {
             self.listed.entry(number).or_insert_with(|| members.own().clone());
-            let given_up = members.apply_table(&self.table(), now);
-            self.listed.retain(|_, listed| !given_up.contains(&listed.name));
+            let removed = members.apply_table(&self.table(), now);
+            self.listed.retain(|_, listed| !removed.contains(&listed.name));
         }
         let seed = (process.rounds.is_multiple_of(SEED_ROUNDS)).then(|| {
             let seed = self.rng.random_range(0..SEEDS);
             address(seed)
         });
-        let drawn = seed.filter(|at| *at != address(number));
-        let Some(peer) = drawn.or_else(|| members.random_peer(now, &mut self.rng)) else { return };
+        let picked = seed.filter(|at| *at != address(number));
+        let Some(peer) = picked.or_else(|| members.random_peer(now, &mut self.rng)) else { return };
         let asked = usize::from(peer.port() - FIRST_PORT);
         let is_cut = self.cut.is_some_and(|first| (asked < first) != (number < first));
         match self.running[asked].as_mut().filter(|_| !is_cut) {
@@ -176,26 +178,26 @@
         }
     }
 
-    /// Pairs of a gateway and one that it gives to callers, though that went off longer ago than
-    /// heartbeats are waited for and take to spread.
-    pub fn named_though_long_off(&self) -> Vec<(usize, usize)> {
+    /// Pairs of a gateway and one that it gives to callers although that one stopped longer ago
+    /// than the sum of the time-out of heartbeats and their propagation time.
+    pub fn given_though_stopped(&self) -> Vec<(usize, usize)> {
         let mut found = Vec::new();
         for number in self.running() {
             let Some(process) = &self.running[number] else { continue };
             let given = process.members.for_callers("hall", process.clock(self.now));
             let bound = Config::default().suspect_after + process.members.propagation_time();
-            for gone in self.gone() {
-                let long_off = self.now.since(self.off_at[gone]) >= bound;
-                if long_off && given.contains(&address(gone)) {
-                    found.push((number, gone));
+            for stopped in self.stopped() {
+                let stopped_long_ago = self.now.since(self.stopped_at[stopped]) >= bound;
+                if stopped_long_ago && given.contains(&address(stopped)) {
+                    found.push((number, stopped));
                 }
             }
         }
         found
     }
 
-    /// Pairs of gateways that both run, the second of which the first does not give to callers.
-    pub fn not_named_though_running(&self) -> Vec<(usize, usize)> {
+    /// Pairs of running gateways of which the first does not give the second to callers.
+    pub fn missing_though_running(&self) -> Vec<(usize, usize)> {
         let mut found = Vec::new();
         for number in self.running() {
             let Some(process) = &self.running[number] else { continue };
--- a/crates/core/tests/gateways.rs
+++ b/crates/core/tests/gateways.rs
@@ -1,5 +1,6 @@
-//! Which gateways a gateway knows of, and what follows: whom callers are given, who leads, who follows
-//! the store closely.
+//! Tests of the gateways' membership table: records and heartbeats of peers are its input. They
+//! guard against callers sent to gateways that stopped, two leaders or none, a data centre without
+//! a close follower of the store, and gateways that are suspected although they are alive.
 
 #[path = "fleet/gossip.rs"]
 mod gossip;
@@ -35,7 +36,7 @@
     }
 }
 
-/// What is told of a gateway that has just been heard.
+/// The record of a gateway that was alive just now.
 fn fresh(member: &Member) -> MemberRecord {
     MemberRecord { member: member.clone(), age: Millis::ZERO }
 }
@@ -49,12 +50,12 @@
 fn few_of_each_data_centre_follow_the_store_closely_and_others_take_their_place() {
     let now = Millis(10_000);
     let mut members = Members::new(Config::default(), neighbour("d"));
-    assert!(members.follows_closely(now), "it has heard of no other");
+    assert!(members.follows_closely(now), "it knows no other gateway");
     members.record_exchange(now);
     members.apply_record(&fresh(&neighbour("a")), now);
     members.apply_record(&fresh(&neighbour("b")), now);
     members.apply_record(&fresh(&member("c", 1)), now);
-    assert!(members.follows_closely(now), "two of its data centre come before it");
+    assert!(members.follows_closely(now), "two of its data centre precede it");
     members.apply_record(&fresh(&neighbour("c2")), now);
     assert!(!members.follows_closely(now));
     members.apply_record(
@@ -88,7 +89,7 @@
     members.apply_record(&fresh(&member("b", 1)), Millis(0));
     let both = members.for_callers("hall-b", Millis(1_000));
     assert_eq!(both[0], member("b", 1).callers_at, "the nearest comes first");
-    // The same heartbeat, told again by a third, shows nothing.
+    // The same heartbeat, sent again by a third gateway, does not prove that it is alive.
     members.apply_record(&fresh(&member("b", 1)), Millis(2_900));
     assert_eq!(members.for_callers("hall-b", Millis(3_000)), [member("a", 1).callers_at]);
     members.apply_record(&fresh(&member("b", 2)), Millis(3_100));
@@ -101,8 +102,8 @@
     members.apply_record(&fresh(&member("b", 7)), Millis(0));
     let look = |members: &mut Members, now| {
         members.remove_expired(now);
-        let sightings = members.liveness_changes(now);
-        sightings.iter().map(LivenessChange::to_string).collect::<Vec<String>>()
+        let changes = members.liveness_changes(now);
+        changes.iter().map(LivenessChange::to_string).collect::<Vec<String>>()
     };
     assert_eq!(look(&mut members, Millis(100)), ["b lives at heartbeat 7"]);
     members.apply_record(&fresh(&member("b", 8)), Millis(600));
@@ -139,8 +140,8 @@
     members.apply_record(&fresh(&Member { leader_fencing_token: 7, ..member("c", 1) }), Millis(0));
     assert!(!members.should_lead(Millis(100)), "another leads");
     members.apply_record(&fresh(&member("a", 1)), Millis(2_000));
-    assert!(!members.should_lead(Millis(3_500)), "nobody leads, and another is first by name");
-    assert!(members.should_lead(Millis(6_000)), "all others are silent");
+    assert!(!members.should_lead(Millis(3_500)), "no gateway leads, and another is first by name");
+    assert!(members.should_lead(Millis(6_000)), "all others are suspected");
     members.begin_leadership(9);
     members.apply_record(&fresh(&member("a", 2)), Millis(6_100));
     assert!(members.should_lead(Millis(6_200)), "it leads, though another is first by name");
@@ -157,7 +158,7 @@
         &fresh(&Member { readiness: Readiness::Leaving, ..member("a", 5) }),
         Millis(6_700),
     );
-    assert!(members.should_lead(Millis(6_800)), "who leaves leads no more");
+    assert!(members.should_lead(Millis(6_800)), "a gateway that leaves does not lead any more");
 }
 
 #[test]
@@ -171,7 +172,7 @@
     members.set_store_answers(false);
     assert!(!members.should_lead(Millis(300)));
     members.begin_leadership(1);
-    assert!(members.should_lead(Millis(300)), "whoever leads needs no store");
+    assert!(members.should_lead(Millis(300)), "a leader needs no store");
 }
 
 #[test]
@@ -181,8 +182,8 @@
     members.apply_record(&fresh(&member("a", 1)), Millis(0));
     members.begin_leadership(3);
     members.advertise_leadership(false);
-    assert_eq!(members.own().leader_fencing_token, 0, "others do not hear of it");
-    assert!(members.should_lead(Millis(100)), "nobody else leads");
+    assert_eq!(members.own().leader_fencing_token, 0, "it is not advertised");
+    assert!(members.should_lead(Millis(100)), "no other gateway leads");
     members.advertise_leadership(true);
     assert_eq!(members.own().leader_fencing_token, 3);
     members.advertise_leadership(false);
@@ -198,12 +199,12 @@
     members.set_readiness(Readiness::Ready);
     members.apply_record(&fresh(&able(160, "a")), Millis(0));
     members.apply_record(&fresh(&able(0, "b")), Millis(0));
-    assert!(members.should_lead(Millis(100)), "it has more than those before it by name");
+    assert!(members.should_lead(Millis(100)), "it has more than those that precede it by name");
     assert_eq!(members.count_preferred_leaders(), 0);
     members.apply_record(&fresh(&able(512, "d")), Millis(100));
     assert!(members.should_lead(Millis(200)));
     members.apply_record(&fresh(&able(512, "b2")), Millis(200));
-    assert!(!members.should_lead(Millis(300)), "as much, and before it by name");
+    assert!(!members.should_lead(Millis(300)), "as much, and it precedes it by name");
     assert_eq!(members.count_preferred_leaders(), 1);
     members
         .apply_record(&fresh(&Member { leader_fencing_token: 3, ..able(160, "a") }), Millis(300));
@@ -212,7 +213,7 @@
         Millis(300),
     );
     members.begin_leadership(2);
-    assert!(!members.should_lead(Millis(400)), "whoever leads stays, whatever it has");
+    assert!(!members.should_lead(Millis(400)), "a leader stays, whatever memory it has");
 }
 
 #[test]
@@ -226,15 +227,16 @@
     assert_eq!(members.own().leader_fencing_token, 0);
 }
 
-/// Two of these gateways exchange news.
+/// One gossip exchange between two of these gateways.
 fn exchange_between(all: &mut [Members], asks: usize, asked: usize, now: Millis) {
     let [asks, asked] = all.get_disjoint_mut([asks, asked]).expect("two of them");
     exchange((asks, now), (asked, now));
 }
 
-/// Many gateways that know only the first of them at the start, and live all the time: the part of all
-/// pairs in which one takes the other for silent, once heartbeats have had time to spread.
-fn part_taken_for_silent(gateways: usize) -> f64 {
+/// Runs many gateways that know only the first of them at the start, and are alive all the time.
+/// Returns the fraction of all pairs in which one suspects the other, once heartbeats have had time
+/// to propagate.
+fn fraction_suspected(gateways: usize) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let address = |index: usize| SocketAddr::from(([127, 0, 0, 1], 1_000 + index as u16));
     let named = |index: usize| {
@@ -245,7 +247,7 @@
     let mut all: Vec<Members> = (0..gateways).map(new).collect();
     all[1..].iter_mut().for_each(|members| members.apply_record(&fresh(&named(0)), Millis::ZERO));
     let mut due: Vec<u64> = (0..gateways).map(|_| rng.random_range(0..600)).collect();
-    let (mut silent, mut pairs) = (0, 0);
+    let (mut suspected, mut pairs) = (0, 0);
     for now in (0..14_000).step_by(10).map(Millis) {
         for asks in 0..gateways {
             if due[asks] > now.0 {
@@ -253,24 +255,25 @@
             }
             all[asks].advance_heartbeat();
             due[asks] = now.0 + all[asks].gossip_interval().0;
-            if let Some(drawn) = all[asks].random_peer(now, &mut rng) {
-                exchange_between(&mut all, asks, usize::from(drawn.port() - 1_000), now);
+            if let Some(picked) = all[asks].random_peer(now, &mut rng) {
+                exchange_between(&mut all, asks, usize::from(picked.port() - 1_000), now);
             }
         }
         if now.0 >= 10_000 && now.0.is_multiple_of(500) {
-            silent += all.iter().map(|members| gateways - members.count_alive(now)).sum::<usize>();
+            suspected +=
+                all.iter().map(|members| gateways - members.count_alive(now)).sum::<usize>();
             pairs += gateways * (gateways - 1);
         }
     }
-    silent as f64 / pairs as f64
+    suspected as f64 / pairs as f64
 }
 
 #[test]
 fn gateways_that_live_are_not_taken_for_silent_however_many_there_are() {
     for gateways in [2, 8, 40, 149] {
-        let part = part_taken_for_silent(gateways);
-        // One pair in some thousand may be: callers are sent elsewhere for a round.
-        assert!(part < 5e-4, "{gateways} gateways: {part}");
+        let fraction = fraction_suspected(gateways);
+        // One pair in some thousand may be: callers get other gateways for a gossip round.
+        assert!(fraction < 5e-4, "{gateways} gateways: {fraction}");
     }
 }
 
@@ -291,11 +294,11 @@
     assert!(b.apply_heartbeats(&a.heartbeats(now), now).is_empty());
     assert_eq!(b.records_of(&[a.own().incarnation_id()], now), [a.own_record()]);
     assert_eq!(b.records_missing_from(&a.heartbeats(now), now), [b.own_record()]);
-    // What was heard before it does not come back.
+    // An older heartbeat does not replace a newer one.
     let old = Member { heartbeat: 3, leader_fencing_token: 0, ..a.own().clone() };
     b.apply_heartbeats(&[old.to_heartbeat(Millis::ZERO)], now);
     assert_eq!(b.records_of(&[a.own().incarnation_id()], now), [a.own_record()]);
-    // Another process of the same instance is another life, and the earlier one is known no more.
+    // Another process of the same instance is another incarnation, and replaces the earlier one.
     let next = Member { incarnation: 7, heartbeat: 0, ..a.own().clone() };
     b.apply_record(&fresh(&next), now);
     assert_eq!(b.apply_heartbeats(&a.heartbeats(now), now), [a.own().incarnation_id()]);
@@ -311,17 +314,18 @@
     let mut members = Members::new(Config::default(), neighbour("d"));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     members.apply_record(&fresh(&member("a", 1)), now);
-    assert_eq!(members.random_local_peer(now, &mut rng), None, "nobody lives there");
+    assert_eq!(members.random_local_peer(now, &mut rng), None, "no gateway is alive there");
     for name in ["b", "c"] {
         members.apply_record(&fresh(&neighbour(name)), now);
     }
-    let near = ["b", "c"].map(|name| Some(neighbour(name).peers_at));
-    let drawn: Vec<_> = (0..40).map(|_| members.random_local_peer(now, &mut rng)).collect();
-    assert!(drawn.iter().all(|one| near.contains(one)), "{drawn:?}");
-    assert!(near.iter().all(|one| drawn.contains(one)), "each of them in turn");
+    let local = ["b", "c"].map(|name| Some(neighbour(name).peers_at));
+    let picked: Vec<_> = (0..40).map(|_| members.random_local_peer(now, &mut rng)).collect();
+    assert!(picked.iter().all(|one| local.contains(one)), "{picked:?}");
+    assert!(local.iter().all(|one| picked.contains(one)), "each of them in turn");
 }
 
-/// Callers are given 64 gateways at the most, and draw one of them. Five data centres of 30 gateways.
+/// Guards against an unequal share of callers: callers get 64 gateways at most, and pick one of
+/// them at random. There are five data centres of 30 gateways.
 #[test]
 fn callers_are_given_all_gateways_alike() {
     let now = Millis(1_000);
@@ -330,24 +334,25 @@
         let data_centre = format!("hall-{}", index / 30);
         Member { callers_at: at, peers_at: at, data_centre, ..member(&format!("g{index:03}"), 1) }
     };
-    let mut drawn = vec![0.0; 150];
+    let mut picked = vec![0.0; 150];
     for asked in 0..150 {
         let mut members = Members::new(Config::default(), named(asked));
         (0..150)
             .filter(|other| *other != asked)
             .for_each(|other| members.apply_record(&fresh(&named(other)), now));
         let given = members.for_callers(&named(asked).data_centre, now);
-        let near =
+        let local =
             given.iter().take(30).filter(|at| (at.port() as usize - 1_000) / 30 == asked / 30);
-        assert_eq!(near.count(), 30, "those of the own data centre come first");
-        given.iter().take(64).for_each(|at| drawn[at.port() as usize - 1_000] += 1.0 / 64.0);
+        assert_eq!(local.count(), 30, "those of the own data centre come first");
+        given.iter().take(64).for_each(|at| picked[at.port() as usize - 1_000] += 1.0 / 64.0);
     }
-    let most = drawn.iter().copied().fold(0.0, f64::max);
-    let least = drawn.iter().copied().fold(f64::MAX, f64::min);
-    assert!(least > 0.6 && most < 1.4, "one part in 150 each, more or less: {least} to {most}");
+    let most = picked.iter().copied().fold(0.0, f64::max);
+    let least = picked.iter().copied().fold(f64::MAX, f64::min);
+    assert!(least > 0.6 && most < 1.4, "one share in 150 each, more or less: {least} to {most}");
 }
 
-/// Incarnations are times of day, and those jump: by hours, ahead and back.
+/// Guards against a restarted gateway that stays unknown. Incarnations are times of day, which can
+/// jump by hours, ahead and back.
 #[test]
 fn a_process_whose_clock_went_back_is_known_after_two_exchanges() {
     const HOUR_MS: u64 = 3_600_000;
@@ -359,22 +364,25 @@
         let mut all = vec![started(before_ms, 70), Members::new(Config::default(), member("b", 1))];
         exchange_between(&mut all, 0, 1, Millis(100));
         assert_eq!(all[1].count_alive(Millis(200)), 2);
-        // It is killed, and the next process of its instance starts under the other clock.
+        // The process is killed, and the next one of its instance starts with the other clock.
         all[0] = started(after_ms, 0);
         all[0].set_readiness(Readiness::Starting);
         for at in [3_200, 3_800] {
             all[0].advance_heartbeat();
             exchange_between(&mut all, 0, 1, Millis(at));
         }
-        assert!(all[0].own().incarnation > before_ms, "it outlives the one before it");
+        assert!(
+            all[0].own().incarnation > before_ms,
+            "it takes a higher incarnation than the process before it"
+        );
         let named = all[1].records_of(&[all[0].own().incarnation_id()], Millis(3_800));
         assert_eq!(named, [all[0].own_record()]);
-        assert_eq!(all[1].count_alive(Millis(6_500)), 2, "it lives by the steady clock");
+        assert_eq!(all[1].count_alive(Millis(6_500)), 2, "it is alive by the monotonic clock");
     }
 }
 
-/// Rounds of news until all of so many gateways have heard of a lead that one has begun.
-fn rounds_until_all_hear(gateways: usize, seed: u64) -> u64 {
+/// Gossip rounds until all of so many gateways know of a leadership that one has begun.
+fn rounds_until_all_know(gateways: usize, seed: u64) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let named = |index: usize| {
         let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + index as u16));
@@ -397,13 +405,13 @@
             let asked = usize::from(address.port() - 1_000);
             exchange_between(&mut all, asks, asked, now);
         }
-        let has_heard =
-            |members: &Members| members.known().any(|told| told.leader_fencing_token == 5);
-        if all.iter().all(has_heard) {
+        let knows_leader =
+            |members: &Members| members.known().any(|gateway| gateway.leader_fencing_token == 5);
+        if all.iter().all(knows_leader) {
             return round;
         }
     }
-    panic!("news do not spread");
+    panic!("records do not propagate");
 }
 
 #[test]
@@ -415,7 +423,7 @@
         }
         let protected = members.propagation_time().0 / Config::default().gossip_interval.0;
         for seed in 0..40 {
-            let rounds = rounds_until_all_hear(gateways, seed);
+            let rounds = rounds_until_all_know(gateways, seed);
             assert!(rounds <= protected, "{gateways} gateways: {rounds} of {protected} rounds");
         }
     }
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -1,4 +1,6 @@
-//! When callers come back while no server can take their requests.
+//! Tests of the retry-after times for callers while no server can accept their requests. They guard
+//! against retries that arrive before an outage is over, since callers retry once or twice, and
+//! against retries that all arrive at the same moment.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::outage::Config;
@@ -7,12 +9,12 @@
 #[test]
 fn callers_come_back_when_an_outage_is_expected_to_be_over() {
     let mut outages = Outages::new(Config::default());
-    assert_eq!(outages.retry_after(Millis(500), 0.0), None, "nothing is out");
+    assert_eq!(outages.retry_after(Millis(500), 0.0), None, "there is no outage");
     outages.began(Millis(1_000));
     outages.began(Millis(1_500));
     assert_eq!(outages.retry_after(Millis(1_000), 0.0), Some(Millis(2_100)));
     assert_eq!(outages.retry_after(Millis(2_000), 0.0), Some(Millis(1_100)));
-    assert_eq!(outages.retry_after(Millis(9_000), 0.0), Some(Millis(800)), "it goes on");
+    assert_eq!(outages.retry_after(Millis(9_000), 0.0), Some(Millis(800)), "the outage continues");
     outages.ended(Millis(9_000));
     assert_eq!(outages.retry_after(Millis(9_000), 0.0), None);
 }
@@ -35,6 +37,6 @@
         outages.ended(Millis(10_000 * round + 5_020));
     }
     outages.began(Millis(500_000));
-    let told = outages.retry_after(Millis(500_000), 0.0).unwrap();
-    assert!((1_000..1_010).contains(&told.0), "{told}");
+    let expected = outages.retry_after(Millis(500_000), 0.0).unwrap();
+    assert!((1_000..1_010).contains(&expected.0), "{expected}");
 }
--- a/crates/core/tests/overtaken.rs
+++ b/crates/core/tests/overtaken.rs
@@ -1,4 +1,6 @@
-//! Requests at a server that says nothing: left where others overtake them, and only there.
+//! Tests of requests at a server that stopped responding, as a frozen machine does. They guard
+//! against requests that wait there although others overtake them, and against requests that are
+//! given up while all servers of a group stall.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::overtaken::Config;
@@ -28,10 +30,10 @@
     pool.present_of("hints")
 }
 
-/// Requests each 40 ms to one server after the other, answered after 160 ms. From 2 s on `is_silent`
-/// servers say nothing for 4 s, and then answer at once. Returns how long each request waited until it
-/// was answered or left, and whether it was left.
-fn play(is_silent: impl Fn(usize) -> bool) -> Vec<(u64, bool)> {
+/// Sends a request each 40 ms to one server after the other, which answers after 160 ms. From 2 s
+/// on the servers of `is_frozen` do not respond for 4 s, and then answer at once. Returns how long
+/// each request waited until it was answered or given up, and whether it was given up.
+fn play(is_frozen: impl Fn(usize) -> bool) -> Vec<(u64, bool)> {
     let keys = servers();
     let mut heads = Heads::new(Config::default());
     let mut waiting: Vec<(usize, u64, u64)> = Vec::new();
@@ -40,7 +42,7 @@
         if now % 40 == 0 {
             let server = (now as usize / 40) % SERVERS;
             let due = now + 160;
-            let held = is_silent(server) && (2_000..6_000).contains(&due);
+            let held = is_frozen(server) && (2_000..6_000).contains(&due);
             waiting.push((server, now, if held { 6_000 } else { due }));
         }
         waiting.retain(|(server, sent, due)| {
@@ -50,11 +52,11 @@
                 ended.push((now - sent, false));
                 return false;
             }
-            let left = heads.next(key, sent_at, Millis(now)) == Next::GiveUp;
-            if left {
+            let given_up = heads.next(key, sent_at, Millis(now)) == Next::GiveUp;
+            if given_up {
                 ended.push((now - sent, true));
             }
-            !left
+            !given_up
         });
     }
     ended
@@ -63,10 +65,10 @@
 #[test]
 fn a_request_at_a_frozen_machine_is_left_within_a_second() {
     let ended = play(|server| server == 3);
-    let left: Vec<u64> =
-        ended.iter().filter(|(_, left)| *left).map(|(waited, _)| *waited).collect();
-    assert!(left.len() > 10, "{left:?}");
-    assert!(left.iter().all(|waited| *waited <= 600), "{left:?}");
+    let given_up: Vec<u64> =
+        ended.iter().filter(|(_, given_up)| *given_up).map(|(waited, _)| *waited).collect();
+    assert!(given_up.len() > 10, "{given_up:?}");
+    assert!(given_up.iter().all(|waited| *waited <= 600), "{given_up:?}");
     let longest = ended.iter().map(|(waited, _)| *waited).max();
     assert!(longest <= Some(600), "{longest:?}");
 }
@@ -74,8 +76,8 @@
 #[test]
 fn no_request_is_left_while_all_servers_stand_still() {
     let ended = play(|_| true);
-    assert!(ended.iter().all(|(_, left)| !left));
-    assert!(ended.iter().any(|(waited, _)| *waited > 3_000), "they stood still");
+    assert!(ended.iter().all(|(_, given_up)| !given_up));
+    assert!(ended.iter().any(|(waited, _)| *waited > 3_000), "they stalled");
 }
 
 #[test]
@@ -90,7 +92,7 @@
     assert_eq!(
         heads.next(keys[1], Millis(900), Millis(2_100)),
         Next::Wait(Millis(2_200)),
-        "its own answers show nothing against a server"
+        "answers of the same server do not count"
     );
 }
 
--- a/crates/direct/src/maps.rs
+++ b/crates/direct/src/maps.rs
@@ -52,7 +52,8 @@
 /// once, each would claim the lead.
 const LISTEN_FIRST: Millis = Millis(500);
 
-/// Added to it for each gateway that goes before this one, as [`Members::count_preferred_leaders`] counts them: by the
+/// Added to it for each gateway that goes before this one, as
+/// [`Members::count_preferred_leaders`] counts them: by the
 /// time that it is over, news of an earlier claim have come. Where 149 started at once, all claimed
 /// within 0.3 s; the first few claim now.
 ///
