--- a/crates/core/src/direct/expert_demand.rs
+++ b/crates/core/src/direct/expert_demand.rs
@@ -1,4 +1,6 @@
-//! How often experts are chosen, estimated from counts that are read now and then.
+//! Estimator of expert demand: how often requests choose each expert of a group's model.
+//! Input: the ranks' counts, which are read several times a second. State: two decaying averages.
+//! It decides the expected share of each expert, from which a new expert layout is planned.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +8,35 @@
 use crate::direct::serving::ExpertShape;
 use crate::util::arena::Key;
 
-/// Time after which a reading counts for half. Shifts are seen sooner than with 250 ms: 0.739 of worth
-/// in place of 0.717 where 90 requests a second are counted, 0.640 in place of 0.630 with 56.
+/// Time after which a count has half its weight. Shifts show sooner than with 250 ms: the score is
+/// 0.739 instead of 0.717 at 90 counted requests per second, and 0.640 instead of 0.630 at 56.
 const HALF_LIFE_MS: f64 = 150.0;
 
-/// Half-life of the slow average over that of the fast one.
-const SLOWER: f64 = 2.0;
+/// Half-life of the slow average relative to that of the fast one.
+const SLOW_HALF_LIFE_FACTOR: f64 = 2.0;
 
-/// How far ahead of the counts demand is followed, in differences of the two averages.
-const AHEAD: f64 = 1.0;
+/// How far demand is extrapolated beyond the fast average, in differences of the two averages.
+const EXTRAPOLATION: f64 = 1.0;
 
-/// Chosen experts on which an estimate has to rest, for each expert.
-const LEAST_COUNTS_EACH: f64 = 4.0;
+/// Minimum number of choices for an estimate, per expert of the set.
+const MIN_COUNTS_PER_EXPERT: f64 = 4.0;
 
-/// How often experts were chosen lately, in two averages: where the fast one is ahead of the slow
-/// one, demand is changing, and is followed ahead of what was counted.
+/// How often experts were chosen recently, in two averages. Where the fast average differs from the
+/// slow one, demand is changing, and the estimate is extrapolated beyond the counts.
 pub struct Demand {
     experts: usize,
     fast: Vec<f64>,
     slow: Vec<f64>,
-    /// Life of its group and counts, as each rank told them last.
+    /// The last reported epoch and counts of each rank.
     last: BTreeMap<Key<Server>, (u64, Vec<u64>)>,
-    /// When the averages were faded last.
-    faded_ms: f64,
-    /// Whether the newest reading showed work.
+    /// When the averages were last decayed.
+    decayed_ms: f64,
+    /// Whether any rank's newest counts showed work.
     pub busy: bool,
 }
 
 impl Demand {
-    /// Nothing was counted yet of groups with this shape.
+    /// An estimator without counts, for groups with this shape.
     pub fn new(shape: &ExpertShape) -> Demand {
         let sums = vec![0.0; shape.sets * shape.experts];
         Demand {
@@ -42,24 +44,24 @@
             fast: sums.clone(),
             slow: sums,
             last: BTreeMap::new(),
-            faded_ms: 0.0,
+            decayed_ms: 0.0,
             busy: true,
         }
     }
 
-    /// Lets what was counted until now, in milliseconds of one clock, count for less.
+    /// Reduces the weight of earlier counts; `now_ms` is in milliseconds of one clock.
     pub fn decay(&mut self, now_ms: f64) {
-        let span = now_ms - self.faded_ms;
-        self.faded_ms = now_ms;
+        let span = now_ms - self.decayed_ms;
+        self.decayed_ms = now_ms;
         for (sums, half_life) in
-            [(&mut self.fast, HALF_LIFE_MS), (&mut self.slow, SLOWER * HALF_LIFE_MS)]
+            [(&mut self.fast, HALF_LIFE_MS), (&mut self.slow, SLOW_HALF_LIFE_FACTOR * HALF_LIFE_MS)]
         {
-            let kept = 0.5f64.powf(span / half_life);
-            sums.iter_mut().for_each(|sum| *sum *= kept);
+            let remaining = 0.5f64.powf(span / half_life);
+            sums.iter_mut().for_each(|sum| *sum *= remaining);
         }
     }
 
-    /// Takes a rank's counts; a group that was born anew counts from zero.
+    /// Records a rank's counts; a group that was restarted counts from zero.
     pub fn record(&mut self, key: Key<Server>, epoch: u64, counts: Vec<u64>) {
         if counts.len() != self.fast.len() {
             return;
@@ -77,22 +79,22 @@
         self.last.insert(key, (epoch, counts));
     }
 
-    /// The newest life of a group that its ranks told with their counts.
+    /// The newest epoch of a group that its ranks have reported with their counts.
     pub fn epoch_of(&self, ranks: &[Key<Server>]) -> Option<u64> {
         ranks.iter().filter_map(|key| self.last.get(key)).map(|(epoch, _)| *epoch).max()
     }
 
-    /// Each expert's share of a set as it is expected to be; `None` while there are too few counts.
+    /// The expected share of each expert in a set; `None` while there are too few counts.
     pub fn shares_of_set(&self, set: usize) -> Option<Vec<f64>> {
-        let places = set * self.experts..(set + 1) * self.experts;
-        let (fast, slow) = (self.fast.get(places.clone())?, self.slow.get(places)?);
+        let range = set * self.experts..(set + 1) * self.experts;
+        let (fast, slow) = (self.fast.get(range.clone())?, self.slow.get(range)?);
         let (all_fast, all_slow) = (fast.iter().sum::<f64>(), slow.iter().sum::<f64>());
-        if all_fast < LEAST_COUNTS_EACH * self.experts as f64 {
+        if all_fast < MIN_COUNTS_PER_EXPERT * self.experts as f64 {
             return None;
         }
         let shares = fast.iter().zip(slow).map(|(fast, slow)| {
             let (fast, slow) = (fast / all_fast, slow / all_slow);
-            (fast + AHEAD * (fast - slow)).max(0.0)
+            (fast + EXTRAPOLATION * (fast - slow)).max(0.0)
         });
         Some(shares.collect())
     }
--- a/crates/core/src/direct/expert_layout.rs
+++ b/crates/core/src/direct/expert_layout.rs
@@ -1,4 +1,6 @@
-//! Which rank of a group holds which experts: what a better map is, and what it costs to bring it in.
+//! Planner of a group's expert layout: which rank holds which experts, over all sets of layers.
+//! Input: the estimated demand, the current layout, the ranks' paces. State: none, pure functions.
+//! It decides whether a better layout is worth a switch of the map, and which layout that is.
 
 use crate::clock::Millis;
 use crate::direct::expert_demand::Demand;
@@ -7,56 +9,58 @@
 use crate::direct::holders::Rank;
 use crate::direct::serving::ExpertShape;
 
-/// Time that the copies of one switch may take at a rank, beyond the first: demand goes on shifting
-/// meanwhile, and a switch that is under way cannot be changed. Worth of days with trouble, without
-/// processor time: where a copy takes 400 ms, 0.545 with two a rank and 0.630 with one; where it takes
-/// 148 ms, 0.656 and 0.668; where it takes 76 ms, 0.717 with two, 0.716 with three, 0.661 with one.
-const COPIES_TIME: Millis = Millis(200);
+/// Time that the copies of one switch may take at a rank; one copy is always allowed. Demand keeps
+/// shifting meanwhile, and a switch under way cannot be changed. Scores of days with faults,
+/// without processor time: where a copy takes 400 ms, 0.545 with two copies per rank and 0.630 with
+/// one; where it takes 148 ms, 0.656 and 0.668; where it takes 76 ms, 0.717 with two, 0.716 with
+/// three and 0.661 with one.
+const MAX_COPY_TIME: Millis = Millis(200);
 
-/// Added to the time that copies take by the link's rate: round trips, and a late start.
+/// Added to the copy time at the link's rate, for round trips and a late start.
 const COPY_MARGIN: Millis = Millis(30);
 
-/// Most that a copy has to gain, in parts of the mean load of one set: 0.637 of worth in place of 0.630
-/// with twice as much, where a copy takes 400 ms.
-const MOST_COPY_PRICE: f64 = 0.03;
+/// Upper bound of the gain that a copy must bring, as a fraction of the mean load of one set. Where
+/// a copy takes 400 ms, the score is 0.637, and 0.630 with twice this bound.
+const MAX_COPY_COST: f64 = 0.03;
 
-/// The same for each second that a copy takes: the most from 75 ms on. Where a copy takes 18 ms, on
-/// groups of 96 ranks, plans end at a skew of 1.25 in place of 1.6, and worth of a day with many
-/// shifts is 0.529 and 0.663 in place of 0.473 and 0.508 (two seeds, without processor time); with 0.15
-/// it is 0.474 with the first of them, since passes are longer while ranks copy.
-const COPY_PRICE_A_SECOND: f64 = 0.4;
+/// Gain that a copy must bring for each second that it takes; the upper bound applies from 75 ms
+/// on. Where a copy takes 18 ms, on groups of 96 ranks, plans end at a skew of 1.25 instead of 1.6.
+/// The score of a day with many shifts is 0.529 and 0.663 instead of 0.473 and 0.508 (two seeds,
+/// without processor time). With 0.15 it is 0.474 for the first seed, since
+/// passes are longer while ranks copy.
+const COPY_COST_PER_SECOND: f64 = 0.4;
 
-/// Part of the present peak that any switch has to gain.
-const LEAST_GAIN: f64 = 0.06;
+/// Gain that each switch must bring, as a fraction of the current peak.
+const MIN_GAIN: f64 = 0.06;
 
-/// The same for each second that its ranks copy: passes take longer meanwhile, and a shift of demand
-/// that comes then is answered only after it. With a copy of 400 ms a switch has to gain a fifth: 0.652
-/// of worth in place of 0.630 with 0.08; with one of 148 ms an eighth: 0.668 in place of 0.654 with a
-/// fifth.
-const LEAST_GAIN_A_SECOND: f64 = 0.33;
+/// Additional gain for each second that the ranks copy: passes take longer meanwhile, and a shift
+/// of demand in that time is followed only after the switch. With a copy of 400 ms, a switch must
+/// gain a fifth: the score is 0.652, and 0.630 with 0.08. With a copy of 148 ms, it must gain an
+/// eighth: the score is 0.668, and 0.654 with a fifth.
+const MIN_GAIN_PER_COPY_SECOND: f64 = 0.33;
 
-/// A group's experts: set by set, the ranks that hold each.
+/// Layout of a group: for each set, the holders of each expert.
 pub type Layout = Vec<Vec<Holders>>;
 
-/// A layout that is worth a switch, and why: the load of the slowest rank over the mean, as demand is
-/// estimated, in the mean of the sets.
+/// A layout that is worth a switch, with its gain in skew. The skew is the load of the slowest rank
+/// relative to the mean load, for the estimated demand, averaged over the sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// The layout.
+    /// The new layout.
     pub layout: Layout,
-    /// With the layout as it is.
+    /// Skew with the current layout.
     pub skew_before: f64,
-    /// With this one.
+    /// Skew with the new layout.
     pub skew_after: f64,
 }
 
-/// The layout that groups begin with.
+/// The initial layout of groups.
 pub fn first(shape: &ExpertShape, ranks: usize) -> Layout {
     vec![expert_plan::round_robin(shape.experts, ranks); shape.sets]
 }
 
 /// A better layout, if it is worth a switch. `paces` are the times that the ranks take for a token,
-/// over the usual time.
+/// relative to the usual time.
 pub fn plan(
     shape: &ExpertShape,
     demand: &Demand,
@@ -64,10 +68,10 @@
     paces: &[f64],
 ) -> Option<Planned> {
     let ranks = paces.len();
-    let mut copies_left = vec![copies_each(shape); ranks];
+    let mut copies_left = vec![max_copies_per_rank(shape); ranks];
     let (mut before, mut after) = (0.0, 0.0);
     let mut planned = layout.clone();
-    // The sets with the most to gain first: copies are few.
+    // The sets with the highest skew come first, since the number of copies is limited.
     let mut sets: Vec<usize> = (0..shape.sets).collect();
     let demands: Option<Vec<Vec<f64>>> =
         sets.iter().map(|set| demand.shares_of_set(*set)).collect();
@@ -79,7 +83,7 @@
         let limits = expert_plan::Limits {
             places: shape.places,
             max_new_experts: copies_left.iter().map(|left| (*left).min(shape.spare)).collect(),
-            copy_cost: copy_price(shape),
+            copy_cost: cost_per_copy(shape),
             paces: paces.to_vec(),
         };
         before += expert_plan::skew(&layout[set], shares, paces);
@@ -91,43 +95,43 @@
         }
     }
     let copy_s = copy_time(shape, layout, &planned, ranks).0 as f64 / 1_000.0;
-    let least_gain = LEAST_GAIN + LEAST_GAIN_A_SECOND * copy_s;
+    let min_gain = MIN_GAIN + MIN_GAIN_PER_COPY_SECOND * copy_s;
     let sets = shape.sets.max(1) as f64;
     let (skew_before, skew_after) = (before / sets, after / sets);
-    let is_worth_it = after < before * (1.0 - least_gain);
+    let is_worth_it = after < before * (1.0 - min_gain);
     is_worth_it.then_some(Planned { layout: planned, skew_before, skew_after })
 }
 
-/// Copies that a rank makes for one switch, over all sets.
-fn copies_each(shape: &ExpertShape) -> usize {
-    let fitting = COPIES_TIME.0 as f64 / copy_ms(shape).max(1.0);
+/// Number of copies that a rank may make for one switch, over all sets.
+fn max_copies_per_rank(shape: &ExpertShape) -> usize {
+    let fitting = MAX_COPY_TIME.0 as f64 / copy_ms(shape).max(1.0);
     (fitting as usize).max(1)
 }
 
-/// Part of the mean load of one set that a copy has to gain.
-fn copy_price(shape: &ExpertShape) -> f64 {
-    (COPY_PRICE_A_SECOND * copy_ms(shape) / 1_000.0).min(MOST_COPY_PRICE)
+/// Gain that a copy must bring, as a fraction of the mean load of one set.
+fn cost_per_copy(shape: &ExpertShape) -> f64 {
+    (COPY_COST_PER_SECOND * copy_ms(shape) / 1_000.0).min(MAX_COPY_COST)
 }
 
-/// How long a rank copies one expert.
+/// Time that a rank takes to copy one expert, in milliseconds.
 fn copy_ms(shape: &ExpertShape) -> f64 {
     let megabit = 8.0 * shape.expert_mb;
     1_000.0 * megabit / shape.link_mbps.max(1.0)
 }
 
-/// How long the rank with the most to copy takes.
+/// Time that the rank with the most to copy takes.
 pub fn copy_time(shape: &ExpertShape, from: &Layout, to: &Layout, ranks: usize) -> Millis {
     let mut copies = vec![0; ranks];
     for (from, to) in from.iter().zip(to) {
         let new = expert_plan::new_experts(from, to, ranks);
         copies.iter_mut().zip(new).for_each(|(sum, new)| *sum += new);
     }
-    let most = copies.into_iter().max().unwrap_or_default() as f64;
-    let copied = Millis((most * copy_ms(shape)) as u64);
-    if most > 0.0 { copied + COPY_MARGIN } else { copied }
+    let max_copies = copies.into_iter().max().unwrap_or_default() as f64;
+    let copied = Millis((max_copies * copy_ms(shape)) as u64);
+    if max_copies > 0.0 { copied + COPY_MARGIN } else { copied }
 }
 
-/// The experts by set and rank.
+/// The experts that each rank holds, by set and rank.
 pub fn by_rank(layout: &Layout, ranks: usize) -> Vec<Vec<Vec<u16>>> {
     let of_set = |set: &Vec<Holders>| {
         let mut held = vec![Vec::new(); ranks];
@@ -139,7 +143,8 @@
     layout.iter().map(of_set).collect()
 }
 
-/// The reverse, from what each rank told of each set; `None` if one names an expert that is not known.
+/// The layout from the experts that each rank reports, by rank and set; `None` if a rank reports an
+/// unknown expert.
 pub fn from_ranks(shape: &ExpertShape, by_rank: &[Vec<Vec<u16>>]) -> Option<Layout> {
     let mut layout: Layout = vec![vec![Holders::default(); shape.experts]; shape.sets];
     for (rank, sets) in by_rank.iter().enumerate() {
--- a/crates/core/src/direct/holders.rs
+++ b/crates/core/src/direct/holders.rs
@@ -1,28 +1,31 @@
-//! The ranks that hold a copy of one expert.
+//! Holders of an expert: a sorted set of the ranks that hold a copy of it.
+//! Input: ranks to add or to remove. State: the ranks, held inline while they are few.
+//! It decides nothing; the planners of expert layouts build their maps from it.
 
 use smallvec::SmallVec;
 
-/// A rank's place in its group.
+/// Index of a rank in its group.
 pub type Rank = u16;
 
-/// Most ranks of a group that is led: far more than the 64 to 128 that deployments have or plan, and
-/// few enough that a report which names a nonsensical size takes no memory.
+/// Maximum number of ranks of a group whose map a gateway manages. It is far above the 64 to 128
+/// ranks that deployments have or plan, and low enough that a report of a nonsensical group size
+/// does not use up memory.
 pub const MAX_RANKS: usize = 1_024;
 
-/// Holders that need no memory of their own: most experts have one to three copies, hot ones more.
-const INLINE: usize = 8;
+/// Holders that are stored inline: most experts have one to three copies, hot ones more.
+const INLINE_HOLDERS: usize = 8;
 
 /// The ranks that hold a copy of one expert, in rising order, each once.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub struct Holders(SmallVec<[Rank; INLINE]>);
+pub struct Holders(SmallVec<[Rank; INLINE_HOLDERS]>);
 
 impl Holders {
-    /// One rank alone.
+    /// A set of one rank.
     pub fn one(rank: Rank) -> Holders {
         Holders(SmallVec::from_slice(&[rank]))
     }
 
-    /// How many there are.
+    /// Number of ranks that hold the expert.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -32,7 +35,7 @@
         self.0.is_empty()
     }
 
-    /// Whether this rank is one of them.
+    /// Whether this rank holds the expert.
     pub fn contains(&self, rank: Rank) -> bool {
         self.0.binary_search(&rank).is_ok()
     }
@@ -42,17 +45,17 @@
         self.0.iter().copied()
     }
 
-    /// Adds a rank, if it is not one of them.
+    /// Adds a rank, if it is not in the set.
     pub fn insert(&mut self, rank: Rank) {
-        if let Err(place) = self.0.binary_search(&rank) {
-            self.0.insert(place, rank);
+        if let Err(position) = self.0.binary_search(&rank) {
+            self.0.insert(position, rank);
         }
     }
 
-    /// Takes a rank away, if it is one of them.
+    /// Removes a rank, if it is in the set.
     pub fn remove(&mut self, rank: Rank) {
-        if let Ok(place) = self.0.binary_search(&rank) {
-            self.0.remove(place);
+        if let Ok(position) = self.0.binary_search(&rank) {
+            self.0.remove(position);
         }
     }
 }
--- a/crates/core/src/direct/map_orders.rs
+++ b/crates/core/src/direct/map_orders.rs
@@ -1,30 +1,36 @@
-//! A group's expert map changed by orders to its ranks, which do not compare maps.
+//! State machine that changes the expert map of one group by orders to its ranks.
+//! Input: reports of the ranks and their replies to orders. State: phase, version, pass, newest
+//! reports. It decides which requests the ranks get next, and how the switch ended.
 //!
-//! Every pass is made by all ranks together, and all must hold the same map in it. Orders may be
-//! lost, or carried out seconds later; a leader may die, or freeze and go on, at any point; a rank
-//! may be reborn, which opens the group in a new epoch with the first map and nothing pending.
+//! All ranks make each pass together and must use the same map in it, but they do not compare maps.
+//! Orders may be lost, or carried out seconds later. A leader may crash, or freeze and resume, at
+//! any point. A rank may restart, which opens the group in a new epoch with the initial map and
+//! nothing pending.
 //!
-//! A switch goes: `prepare` everywhere, first at rank 0; `hold` a pass at rank 0; `arm` that pass
-//! everywhere; `go` at rank 0 once every rank has acknowledged its `arm`. Why two maps never meet:
+//! Steps of a switch: `prepare` at all ranks, at rank 0 first; `hold` for one pass at rank 0; `arm`
+//! for that pass at all ranks; `go` at rank 0 once every rank has acknowledged its `arm`. No pass
+//! uses two maps, for these reasons:
 //!
-//! - While the hold stands, the pass does not begin, so a half-armed group makes no pass with it.
-//! - An order that got no answer is repeated as it was until it is acknowledged, and none goes with
-//!   another version or pass before that. So when the lost one comes late, its map is not the newest
-//!   any more, its pass has begun, or what it orders holds already. One case is left: a `hold` that
-//!   comes between `go` and the pass. So the leader watches until the pass has begun, and releases
-//!   that hold, too: all ranks are armed by then.
-//! - Ranks compare versions, not maps: one that has a version answers that it holds, whatever is in
-//!   the map that comes. So each version names one map for good, also where a switch was left before
-//!   all ranks had it: [`Versions`] gives each out once.
-//! - Each order carries the leader's fencing token. A new leader's first order that rank 0 accepts
-//!   while it is not armed shuts the old leader out: it can neither hold nor arm rank 0 any more, so
-//!   it never gets to `go`. If rank 0 is armed already, the new leader completes what the old one
-//!   began, to the same pass.
-//! - A switch is never called off where rank 0 is armed; elsewhere only after rank 0 has
-//!   accepted the new leader's map. The old hold is released only once every rank has.
+//! - While the hold is in force, the pass does not begin. A group in which only some ranks are
+//!   armed therefore makes no pass with the new map.
+//! - An order that got no answer is retried unchanged until it is acknowledged, and no order with
+//!   another version or pass is sent before that. If the lost order arrives late, then its map is
+//!   no longer the newest, or its pass has begun, or what it orders is in effect already. One case
+//!   remains: a `hold` that arrives between `go` and the pass. So the leader polls rank 0 until the
+//!   pass has begun, and releases such a hold too: all ranks are armed by then.
+//! - Ranks compare versions, not maps. A rank that has a version answers that the order is in
+//!   effect already, whatever map the order contains. So each version names one map permanently,
+//!   even if a switch ended before all ranks had the map: [`Versions`] allocates each version once.
+//! - Each order carries the leader's fencing token. The first order of a new leader that rank 0
+//!   accepts while it is not armed fences off the old leader, which can no longer hold or arm rank
+//!   0 and so never reaches `go`. If rank 0 is armed already, the new leader completes the switch
+//!   of the old leader, for the same pass.
+//! - A switch is never cancelled if rank 0 is armed. At the other ranks it is cancelled only after
+//!   rank 0 has accepted the new leader's map. The old hold is released only once every rank has
+//!   accepted that map.
 //!
-//! [`Switch`] goes in rounds: each asks every rank at most one thing, and takes what came back.
-//! `crates/core/tests/map_orders.rs` plays it against ranks that lose, delay and are reborn.
+//! [`Switch`] works in rounds: each sends every rank at most one request, then applies the replies.
+//! `crates/core/tests/map_orders.rs` runs it against ranks that lose and delay orders and restart.
 
 mod config;
 mod messages;
@@ -47,36 +53,36 @@
 struct Rank {
     /// The newest report.
     report: Option<RankReport>,
-    /// Done with the present phase.
+    /// Whether the rank is done with the current phase.
     done: bool,
-    /// Its state is not clear: look first.
-    unclear: bool,
-    /// Version that has to be disarmed first.
+    /// Its state is uncertain: a report is requested before the next order.
+    needs_report: bool,
+    /// Version that must be disarmed before the new map is prepared.
     armed_version: Option<u64>,
 }
 
-/// A part of a switch.
+/// Phase of a switch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// Reports of all ranks.
+    /// Reports of all ranks are collected.
     Survey,
-    /// The map is brought to all ranks, rank 0 first.
+    /// The map is sent to all ranks, to rank 0 first.
     Prepare,
-    /// Ranks copy.
+    /// Ranks copy the experts that are new to them.
     Copy,
     /// A pass is held at rank 0.
     Hold,
-    /// All ranks are armed.
+    /// All ranks are being armed.
     Arm,
-    /// The pass is released.
+    /// The held pass is released at rank 0.
     Go,
-    /// The pass begins.
+    /// Rank 0 is polled until the pass has begun.
     Watch,
-    /// A predecessor's hold is released; the map is prepared everywhere.
+    /// A previous leader's hold is released, after the map was prepared at all ranks.
     Release,
 }
 
-/// One switch of one group's map.
+/// State of one switch of one group's map.
 #[derive(Clone, Debug)]
 pub struct Switch {
     config: Config,
@@ -85,37 +91,38 @@
     ranks: Vec<Rank>,
     epoch: Option<u64>,
     version: u64,
-    /// The pass from which the map holds.
+    /// The pass from which the new map is in force.
     pass: u64,
-    /// The pass that is held: the same, unless a hold came late.
+    /// The pass that is held: equal to `pass`, unless a hold arrived late.
     held: u64,
-    /// Whether what is completed is a predecessor's switch.
+    /// Whether this completes the switch of a previous leader.
     inherited: bool,
     idle_rounds: u32,
-    /// Conflicts that were to be expected, in this phase.
-    tries: u32,
-    /// How long the ranks copy.
-    copy: Millis,
-    /// Whether the group's state is the own last switch: most looks are left out then.
+    /// Expected conflicts in this phase.
+    conflicts: u32,
+    /// Expected time that the ranks copy.
+    copy_time: Millis,
+    /// Whether the group is in the state that this leader's last switch left: most polls are left
+    /// out then.
     settled: bool,
     /// Whether an order got no answer.
-    doubtful: bool,
-    /// Whether a hold was ordered more than once, so that a lost one may come late.
-    hold_repeated: bool,
-    /// How long to wait before the next round.
+    order_unanswered: bool,
+    /// Whether a hold got no answer and was retried, so that the lost one may arrive late.
+    hold_retried: bool,
+    /// Pause before the next round.
     pause: Option<Millis>,
-    over: Option<Next>,
+    outcome: Option<Next>,
 }
 
 impl Switch {
-    /// A switch of a group with so many ranks, by the leader that has these versions left. `copy` is
-    /// how long the rank with the most to copy is expected to take.
+    /// Creates a switch for a group of `ranks` ranks, by the leader that has `versions` left.
+    /// `copy_time` is the expected time of the rank with the most to copy.
     pub fn new(
         config: Config,
         versions: Versions,
         ranks: usize,
         start: Start,
-        copy: Millis,
+        copy_time: Millis,
     ) -> Switch {
         let mut switch = Switch {
             config,
@@ -128,13 +135,13 @@
             held: 0,
             inherited: false,
             idle_rounds: 0,
-            tries: 0,
-            copy,
+            conflicts: 0,
+            copy_time,
             settled: false,
-            doubtful: false,
-            hold_repeated: false,
+            order_unanswered: false,
+            hold_retried: false,
             pause: None,
-            over: None,
+            outcome: None,
         };
         if let Start::Settled { epoch } = start {
             switch.epoch = Some(epoch);
@@ -144,99 +151,106 @@
         switch
     }
 
-    /// What its leader has left of versions: the next switch begins with these.
+    /// The versions that the leader has left, with which its next switch begins.
     pub fn versions(&self) -> Versions {
         self.versions
     }
 
-    /// The group's life, once it is known.
+    /// The group's epoch, once it is known.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// What the switch is at, for logs.
+    /// The progress of the switch, for logs.
     pub fn describe(&self) -> String {
-        let open: Vec<String> =
-            self.open(false).map(|(index, rank)| format!("{index}:{:?}", rank.report)).collect();
+        let unfinished: Vec<String> = self
+            .unfinished(false)
+            .map(|(index, rank)| format!("{index}:{:?}", rank.report))
+            .collect();
         format!(
-            "{:?} version={} pass={} epoch={:?} idle_rounds={} tries={} not done: {}",
+            "{:?} version={} pass={} epoch={:?} idle_rounds={} conflicts={} not done: {}",
             self.phase,
             self.version,
             self.pass,
             self.epoch,
             self.idle_rounds,
-            self.tries,
-            open.join(" ")
+            self.conflicts,
+            unfinished.join(" ")
         )
     }
 
-    /// The part of the switch that is under way.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Version of the map that is brought in, once it is known.
+    /// Version of the new map, once it is known.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether no order of this switch was given yet, and it would begin with its own map.
+    /// Whether no rank has accepted an order of this switch yet, and it would begin with its own
+    /// map.
     pub fn is_before_orders(&self) -> bool {
         self.phase == Phase::Prepare && !self.ranks.iter().any(|rank| rank.done)
     }
 
-    /// The map version that the ranks used when they were surveyed, if all used the same.
+    /// The map version in the newest reports of the ranks, if it is the same in all of them.
     pub fn surveyed_map(&self) -> Option<u64> {
         same_of_all(self.ranks.iter().map(|rank| rank.report.map(|report| report.map)))
     }
 
-    /// A rank is not listed any more: the switch ends, unless a pass may be held for it. A held group
-    /// stands still until the switch goes on, and a rank that only lost its row still takes orders.
+    /// Ends the switch because a rank is not listed any more, unless a pass may be held. A held
+    /// group stalls until the switch continues, and a rank that only lost its row still accepts
+    /// orders.
     pub fn withdraw(&mut self) {
         if !matches!(self.phase, Phase::Hold | Phase::Arm | Phase::Go | Phase::Watch) {
             self.end(Next::Changed);
         }
     }
 
-    /// What to do next.
+    /// The next action of the driver.
     pub fn step(&mut self) -> Next {
-        if let Some(over) = &self.over {
-            return over.clone();
+        if let Some(outcome) = &self.outcome {
+            return outcome.clone();
         }
         if let Some(pause) = self.pause.take() {
             return Next::Pause(pause);
         }
         if self.settled && self.phase == Phase::Copy && !self.config.polls_before_hold {
-            // The ranks are done by now; one that is not refuses to be armed for a moment.
+            // The ranks have copied by now. A rank that still copies refuses to be armed for a
+            // moment.
             self.enter(Phase::Hold);
-            self.ranks[0].unclear = true;
+            self.ranks[0].needs_report = true;
         }
         self.idle_rounds += 1;
         if self.idle_rounds > self.config.max_idle_rounds {
             self.end(Next::Changed);
             return Next::Changed;
         }
-        let asks: Vec<(usize, RankRequest)> = match self.phase {
-            Phase::Survey | Phase::Copy => self.looks(),
-            Phase::Prepare => self.prepares(),
-            Phase::Hold => self.at_first(Order::Hold { pass: self.pass }),
-            Phase::Arm => self.arms(),
-            Phase::Go | Phase::Release => self.at_first(Order::Go { pass: self.held }),
+        let requests: Vec<(usize, RankRequest)> = match self.phase {
+            Phase::Survey | Phase::Copy => self.report_requests(),
+            Phase::Prepare => self.prepare_orders(),
+            Phase::Hold => self.to_rank_0(Order::Hold { pass: self.pass }),
+            Phase::Arm => self.arm_orders(),
+            Phase::Go | Phase::Release => self.to_rank_0(Order::Go { pass: self.held }),
             Phase::Watch => vec![(0, RankRequest::Report)],
         };
-        Next::Round(asks)
+        Next::Round(requests)
     }
 
-    /// Takes what came back from a round.
+    /// Applies the replies of one round.
     pub fn apply_replies(&mut self, replies: &[(usize, RankRequest, Reply)]) {
-        let (done, tries) = (self.done(), self.tries);
-        for (rank, ask, reply) in replies {
-            match (ask, reply) {
-                (_, Reply::Report(report)) => self.reported(*rank, *report),
-                (RankRequest::Order(fenced), reply) => self.answered(*rank, fenced.order, *reply),
+        let (done, conflicts) = (self.done(), self.conflicts);
+        for (rank, request, reply) in replies {
+            match (request, reply) {
+                (_, Reply::Report(report)) => self.apply_report(*rank, *report),
+                (RankRequest::Order(fenced), reply) => {
+                    self.apply_order_reply(*rank, fenced.order, *reply)
+                }
                 (RankRequest::Report, _) => {}
             }
-            if self.over.is_some() {
+            if self.outcome.is_some() {
                 return;
             }
         }
@@ -246,28 +260,29 @@
         let conflict = replies.iter().any(|(_, _, reply)| *reply == Reply::Conflict);
         self.advance();
         self.pause = if self.phase != phase {
-            self.pause_of_entry()
-        } else if self.tries > tries {
-            self.pause_of_try()
+            self.pause_on_entry()
+        } else if self.conflicts > conflicts {
+            self.pause_after_conflict()
         } else {
-            let looks = matches!(phase, Phase::Survey | Phase::Copy | Phase::Watch);
-            // What was surveyed is looked at again: a map is about to come into force.
-            let waits = looks && (!progress || surveyed);
+            let polls = matches!(phase, Phase::Survey | Phase::Copy | Phase::Watch);
+            // The ranks are surveyed again: an armed map is about to come into force.
+            let waits = polls && (!progress || surveyed);
             (conflict || waits).then_some(self.config.poll_interval)
         };
     }
 
-    fn pause_of_entry(&mut self) -> Option<Millis> {
+    fn pause_on_entry(&mut self) -> Option<Millis> {
         match self.phase {
-            Phase::Copy if self.settled => Some(std::mem::take(&mut self.copy)),
-            Phase::Copy => Some(std::mem::take(&mut self.copy) + self.config.poll_interval),
+            Phase::Copy if self.settled => Some(std::mem::take(&mut self.copy_time)),
+            Phase::Copy => Some(std::mem::take(&mut self.copy_time) + self.config.poll_interval),
             Phase::Watch => Some(self.config.poll_interval),
             _ => None,
         }
     }
 
-    /// A later pass is tried at once; a map that is armed is in force after some passes.
-    fn pause_of_try(&self) -> Option<Millis> {
+    /// No pause before a later pass is tried. Other conflicts need one: the last map comes into
+    /// force only after some passes.
+    fn pause_after_conflict(&self) -> Option<Millis> {
         (self.phase != Phase::Hold).then_some(self.config.retry_pause)
     }
 
@@ -276,8 +291,8 @@
         self.ranks.iter().filter_map(|rank| rank.report)
     }
 
-    /// The pass that rank 0 holds, as it reported last.
-    fn held_at_first(&self) -> Option<u64> {
+    /// The pass that rank 0 holds, by its newest report.
+    fn held_at_rank_0(&self) -> Option<u64> {
         self.ranks[0].report.and_then(|report| report.held)
     }
 
@@ -285,41 +300,43 @@
         self.ranks.iter().filter(|rank| rank.done).count()
     }
 
-    /// Ranks that are not done with the present phase; only rank 0 of them if `first_only`.
-    fn open(&self, first_only: bool) -> impl Iterator<Item = (usize, &Rank)> {
-        let open = self.ranks.iter().enumerate().filter(|(_, rank)| !rank.done);
-        open.filter(move |(index, _)| !first_only || *index == 0)
+    /// Ranks that are not done with the current phase; only rank 0 of them if `rank_0_only`.
+    fn unfinished(&self, rank_0_only: bool) -> impl Iterator<Item = (usize, &Rank)> {
+        let unfinished = self.ranks.iter().enumerate().filter(|(_, rank)| !rank.done);
+        unfinished.filter(move |(index, _)| !rank_0_only || *index == 0)
     }
 
-    fn looks(&self) -> Vec<(usize, RankRequest)> {
-        self.open(false).map(|(index, _)| (index, RankRequest::Report)).collect()
+    fn report_requests(&self) -> Vec<(usize, RankRequest)> {
+        self.unfinished(false).map(|(index, _)| (index, RankRequest::Report)).collect()
     }
 
-    /// Rank 0 alone until it has accepted: see the module.
-    fn prepares(&self) -> Vec<(usize, RankRequest)> {
-        let first_only = !self.ranks[0].done;
+    /// Orders for this phase: only to rank 0 until it has accepted, which fences off an old leader.
+    fn prepare_orders(&self) -> Vec<(usize, RankRequest)> {
+        let rank_0_only = !self.ranks[0].done;
         let ordered = |rank: &Rank| match rank.armed_version {
             Some(version) => Order::Disarm { version },
             None => Order::Prepare { version: self.version },
         };
-        let open = self.open(first_only);
-        open.map(|(index, rank)| (index, self.ask(rank, ordered(rank)))).collect()
+        let unfinished = self.unfinished(rank_0_only);
+        unfinished.map(|(index, rank)| (index, self.request(rank, ordered(rank)))).collect()
     }
 
-    fn arms(&self) -> Vec<(usize, RankRequest)> {
-        // Rank 0 first where a predecessor may still be at work: it is shut out there.
-        let first_only = self.inherited && !self.ranks[0].done;
+    fn arm_orders(&self) -> Vec<(usize, RankRequest)> {
+        // Rank 0 first where a previous leader may still be active: rank 0 fences it off.
+        let rank_0_only = self.inherited && !self.ranks[0].done;
         let order = Order::Arm { version: self.version, pass: self.pass };
-        self.open(first_only).map(|(index, rank)| (index, self.ask(rank, order))).collect()
+        self.unfinished(rank_0_only)
+            .map(|(index, rank)| (index, self.request(rank, order)))
+            .collect()
     }
 
-    fn at_first(&self, order: Order) -> Vec<(usize, RankRequest)> {
-        vec![(0, self.ask(&self.ranks[0], order))]
+    fn to_rank_0(&self, order: Order) -> Vec<(usize, RankRequest)> {
+        vec![(0, self.request(&self.ranks[0], order))]
     }
 
-    /// An order to a rank, or a look at it first.
-    fn ask(&self, rank: &Rank, order: Order) -> RankRequest {
-        if rank.unclear {
+    /// The order for a rank, or a request for its report if its state is uncertain.
+    fn request(&self, rank: &Rank, order: Order) -> RankRequest {
+        if rank.needs_report {
             return RankRequest::Report;
         }
         let epoch = self.epoch.unwrap_or_default();
@@ -330,27 +347,28 @@
         })
     }
 
-    fn reported(&mut self, index: usize, report: RankReport) {
+    fn apply_report(&mut self, index: usize, report: RankReport) {
         if !report.open || self.epoch.is_some_and(|epoch| epoch != report.epoch) {
             return self.end(Next::Changed);
         }
         self.epoch = Some(report.epoch);
         let rank = &mut self.ranks[index];
         rank.report = Some(report);
-        rank.unclear = false;
+        rank.needs_report = false;
         match self.phase {
             Phase::Survey => rank.done = true,
-            Phase::Prepare => self.seen_prepare(index, report),
+            Phase::Prepare => self.check_prepare(index, report),
             Phase::Copy => rank.done = report.prepared == Some(self.version),
-            Phase::Hold => self.seen_hold(report.held),
-            Phase::Arm => self.seen_arm(index, report),
+            Phase::Hold => self.check_hold(report.held),
+            Phase::Arm => self.check_arm(index, report),
             Phase::Go | Phase::Release => rank.done = report.held != Some(self.held),
-            Phase::Watch => self.watched(report),
+            Phase::Watch => self.check_pass_begun(report),
         }
     }
 
-    /// What a predecessor armed is completed if rank 0 is armed, too; elsewhere it is disarmed first.
-    fn seen_prepare(&mut self, index: usize, report: RankReport) {
+    /// If rank 0 is armed, the previous leader's switch is completed. Other armed ranks are
+    /// disarmed first.
+    fn check_prepare(&mut self, index: usize, report: RankReport) {
         let rank = &mut self.ranks[index];
         rank.done = report.prepared == Some(self.version);
         rank.armed_version = report.armed_version();
@@ -359,23 +377,23 @@
         }
     }
 
-    fn seen_arm(&mut self, index: usize, report: RankReport) {
+    fn check_arm(&mut self, index: usize, report: RankReport) {
         if report.armed == Some((self.version, self.pass)) {
             self.ranks[index].done = true;
             return;
         }
-        // Its hold was released then: all ranks had been armed by then.
+        // The hold of that pass was released, so all ranks had been armed.
         let has_begun = report.pass >= self.pass;
-        // Another leader has replaced what was to be completed.
+        // Another leader has replaced the switch that was to be completed.
         let is_replaced = self.inherited && report.prepared != Some(self.version);
         if has_begun || is_replaced {
             self.restart();
         }
     }
 
-    /// All ranks are armed, so what holds a pass up to theirs came late, and is released as well. A
-    /// later one may be that of another leader, whose ranks are not armed yet.
-    fn watched(&mut self, report: RankReport) {
+    /// All ranks are armed, so a hold of their pass or an earlier one arrived late, and is released
+    /// too. A hold of a later pass may be another leader's, whose ranks are not armed yet.
+    fn check_pass_begun(&mut self, report: RankReport) {
         match report.held {
             Some(held) if held <= self.pass => {
                 self.held = held;
@@ -385,17 +403,17 @@
         }
     }
 
-    fn seen_hold(&mut self, held: Option<u64>) {
+    fn check_hold(&mut self, held: Option<u64>) {
         match held {
             Some(pass) if pass == self.pass => self.ranks[0].done = true,
-            // Whoever holds another pass comes first.
+            // The switch of the leader that holds another pass has priority.
             Some(_) => self.restart(),
             None => self.set_pass(),
         }
     }
 
-    fn answered(&mut self, index: usize, order: Order, reply: Reply) {
-        let may_try_again = self.may_try_again();
+    fn apply_order_reply(&mut self, index: usize, order: Order, reply: Reply) {
+        let is_conflict_expected = self.is_conflict_expected();
         let rank = &mut self.ranks[index];
         match reply {
             Reply::Fenced => self.end(Next::Superseded),
@@ -406,54 +424,56 @@
                     _ => rank.done = true,
                 }
             }
-            Reply::Conflict if may_try_again => {
-                self.tries += 1;
+            Reply::Conflict if is_conflict_expected => {
+                self.conflicts += 1;
                 self.idle_rounds = 0;
                 if self.phase == Phase::Hold {
                     self.pass += self.config.passes_ahead.div_ceil(2);
                 }
             }
-            Reply::Conflict => rank.unclear = true,
+            Reply::Conflict => rank.needs_report = true,
             Reply::NoAnswer => {
-                self.doubtful = true;
-                self.hold_repeated |= self.phase == Phase::Hold;
+                self.order_unanswered = true;
+                self.hold_retried |= self.phase == Phase::Hold;
             }
             Reply::Report(_) => {}
         }
     }
 
-    /// Whether a conflict is what is to be expected now and then: the pass had begun, the last map
-    /// is not in force yet, or a rank still copies.
-    fn may_try_again(&self) -> bool {
+    /// Whether a conflict is expected: the pass may have begun, the last map may not be in force
+    /// yet, or a rank may still be copying.
+    fn is_conflict_expected(&self) -> bool {
         let expected = match self.phase {
             Phase::Hold => true,
             Phase::Prepare | Phase::Arm => self.settled,
             _ => false,
         };
-        expected && self.tries < self.config.max_conflicts
+        expected && self.conflicts < self.config.max_conflicts
     }
 
     fn advance(&mut self) {
         let all = self.ranks.iter().all(|rank| rank.done);
-        let first = self.ranks[0].done;
+        let rank_0_done = self.ranks[0].done;
         match self.phase {
-            Phase::Survey if all => self.surveyed(),
+            Phase::Survey if all => self.finish_survey(),
             Phase::Prepare if all => self.enter(Phase::Copy),
-            Phase::Copy if all => self.copied(),
-            Phase::Hold if first => {
+            Phase::Copy if all => self.finish_copy(),
+            Phase::Hold if rank_0_done => {
                 self.held = self.pass;
                 self.enter(Phase::Arm);
             }
             Phase::Arm if all => self.enter(Phase::Go),
-            // Nothing is late that could hold the pass again.
-            Phase::Go if first && self.settled && !self.hold_repeated => self.end(Next::Switched),
-            Phase::Go if first => self.enter(Phase::Watch),
-            Phase::Watch if first => {
+            // No hold is outstanding that could hold the pass again.
+            Phase::Go if rank_0_done && self.settled && !self.hold_retried => {
+                self.end(Next::Switched)
+            }
+            Phase::Go if rank_0_done => self.enter(Phase::Watch),
+            Phase::Watch if rank_0_done => {
                 let done = if self.inherited { Next::Discarded } else { Next::Switched };
                 self.end(done);
             }
-            // What a predecessor held is released; now the own switch goes on.
-            Phase::Release if first => {
+            // The previous leader's hold is released; this switch continues with its own.
+            Phase::Release if rank_0_done => {
                 self.set_pass();
                 self.enter(Phase::Hold);
             }
@@ -461,19 +481,19 @@
         }
     }
 
-    fn surveyed(&mut self) {
+    fn finish_survey(&mut self) {
         let newest = self.reports().map(|report| report.newest_version()).max();
         let newest = newest.unwrap_or_default();
         let armed = self.reports().find_map(|report| report.armed);
         let complete = same_of_all(self.reports().map(|report| report.pending_version()));
-        match (self.held_at_first(), armed, complete) {
+        match (self.held_at_rank_0(), armed, complete) {
             (None, None, _) => self.prepare_above(newest),
-            // Released by a predecessor: it takes effect with the next passes.
+            // Released by a previous leader: the armed map comes into force within the next passes.
             (None, Some(_), _) => self.restart(),
-            // All ranks have what a predecessor began to arm: complete it. A hold of an earlier pass
-            // came late, after `go`, and nothing else would release it: no rank takes a new map while
-            // it is armed. Where none is armed, the hold may be one that another leader is about to
-            // release.
+            // All ranks have the map that a previous leader began to arm: complete its switch. A
+            // hold of an earlier pass arrived late, after `go`, and no other process releases it:
+            // no rank accepts a new map while it is armed. If no rank is armed, another leader may
+            // be about to release the hold.
             (Some(held), Some((armed, pass)), Some(version))
                 if armed == version && held <= pass =>
             {
@@ -481,12 +501,12 @@
                 self.inherited = true;
                 self.enter(Phase::Arm);
             }
-            // The own map replaces what was begun, then the hold is released.
+            // This switch's map replaces the one that was begun, then the hold is released.
             (Some(_), _, _) => self.prepare_above(newest),
         }
     }
 
-    /// Begins to bring in the own map, under a version above all that the ranks told.
+    /// Begins to prepare this switch's map, with a version above all that the ranks reported.
     fn prepare_above(&mut self, newest: u64) {
         match self.versions.allocate_above(newest) {
             Some(version) => {
@@ -497,9 +517,10 @@
         }
     }
 
-    fn copied(&mut self) {
-        // These reports show the rank after it accepted the map, so a predecessor's hold shows too.
-        match self.held_at_first() {
+    fn finish_copy(&mut self) {
+        // These reports are from after the rank accepted the map, so they include the hold of a
+        // previous leader.
+        match self.held_at_rank_0() {
             Some(pass) => {
                 self.held = pass;
                 self.enter(Phase::Release);
@@ -513,22 +534,22 @@
 
     fn set_pass(&mut self) {
         let newest = self.reports().map(|report| report.pass);
-        let doubt = if self.doubtful { self.config.unanswered_margin_passes() } else { 0 };
-        self.pass = newest.max().unwrap_or_default() + self.config.passes_ahead + doubt;
+        let margin = if self.order_unanswered { self.config.unanswered_margin_passes() } else { 0 };
+        self.pass = newest.max().unwrap_or_default() + self.config.passes_ahead + margin;
     }
 
     fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         self.idle_rounds = 0;
-        self.tries = 0;
+        self.conflicts = 0;
         for rank in &mut self.ranks {
             rank.done = false;
-            rank.unclear = false;
+            rank.needs_report = false;
             rank.armed_version = None;
         }
     }
 
-    /// Looks at all ranks anew.
+    /// Surveys all ranks again.
     fn restart(&mut self) {
         let spent = self.idle_rounds;
         self.enter(Phase::Survey);
@@ -537,12 +558,12 @@
         self.settled = false;
     }
 
-    fn end(&mut self, over: Next) {
-        self.over = Some(over);
+    fn end(&mut self, outcome: Next) {
+        self.outcome = Some(outcome);
     }
 }
 
-/// The version that all name, if all name the same.
+/// The common version, if every item has the same one.
 fn same_of_all(mut versions: impl Iterator<Item = Option<u64>>) -> Option<u64> {
     let first = versions.next()??;
     versions.all(|version| version == Some(first)).then_some(first)
--- a/crates/core/src/direct/map_orders/config.rs
+++ b/crates/core/src/direct/map_orders/config.rs
@@ -1,35 +1,39 @@
-//! Times and bounds of a switch, where reports are late and where they are fresh.
+//! Configuration of a switch of an expert map: pauses, margins and limits on retries.
+//! Input: the pass length, which the leader sets. State: values that a switch only reads.
+//! They decide when a switch polls, retries, or ends; presets are for late and for fresh reports.
 
 use crate::clock::Millis;
 
 /// Times and bounds of a switch.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Pause between two looks: longer than a report is old, so that what was taken before the
-    /// pause shows in the next report.
+    /// Pause between two polls. It is longer than the age of a report, so that an order that was
+    /// accepted before the pause shows in the next report.
     pub poll_interval: Millis,
-    /// How far ahead of the newest report a switch is set, in passes: the report's age. If the pass
-    /// has begun already, one that is later by half of this is tried at once. A pass that is held
-    /// for the round trips that follow costs less than one that is far ahead.
+    /// How many passes after the newest reported one a map is to come into force: as many as a
+    /// report is old. If that pass has begun already, one that is later by half of this number is
+    /// tried at once. Holding a pass for the round trips that follow costs less than a pass that is
+    /// far ahead.
     pub passes_ahead: u64,
-    /// How much further ahead it is set once an order got no answer, in time: more may get none, and
-    /// the group would stand still until they are repeated. The old map stays in force for as long.
+    /// Time by which a map comes into force later once an order got no answer. More orders may get
+    /// no answer, and the group would stall until they are retried. The old map stays in force
+    /// meanwhile.
     pub unanswered_margin: Millis,
-    /// How long a pass takes.
+    /// Duration of a pass.
     pub pass_length: Millis,
-    /// Whether all ranks are looked at before a pass is held, also where they should be done: one that
-    /// does not answer then would leave the group standing still until it is back.
+    /// Whether all ranks are polled before a pass is held, even if they should have copied the map
+    /// by then. A rank that does not answer while a pass is held stalls the group until it is back.
     pub polls_before_hold: bool,
-    /// Pause before an order is repeated that a rank was not ready for.
+    /// Pause before the retry of an order for which a rank was not ready.
     pub retry_pause: Millis,
-    /// Conflicts of a phase after which ranks are looked at.
+    /// Expected conflicts in a phase after which the ranks are polled.
     pub max_conflicts: u32,
-    /// Rounds without progress after which the group counts as changed.
+    /// Rounds without progress after which the switch ends and the group counts as changed.
     pub max_idle_rounds: u32,
 }
 
 impl Default for Config {
-    /// Reports of the users' engines are 200 ms old, and their passes take 35 to 90 ms.
+    /// Values for engines whose reports are 200 ms old and whose passes take 35 to 90 ms.
     fn default() -> Self {
         Config {
             poll_interval: Millis(250),
@@ -45,9 +49,11 @@
 }
 
 impl Config {
-    /// Where reports are fresh: a look shows what was taken before it, and what gets no answer is
-    /// repeated after 60 ms, so that four tries in a row fit into what is doubtful. Set in passes, eight
-    /// of 120 ms each, the map of a group of 24 ranks came 1.2 s late while a tenth of orders is late.
+    /// Values for fresh reports. A poll shows each order that was accepted before it. An order
+    /// without an answer is retried after 60 ms, so four attempts in a row fit into
+    /// `unanswered_margin`. The margin is a time, not a number of passes: as eight passes of 120 ms
+    /// each, it delayed the map of a group of 24 ranks by 1.2 s while a tenth of the orders was
+    /// late.
     pub fn for_fresh_reports() -> Config {
         Config {
             poll_interval: Millis(40),
@@ -58,7 +64,7 @@
         }
     }
 
-    /// How many passes further ahead a switch is set once an order got no answer.
+    /// `unanswered_margin` as a number of passes, rounded up.
     pub(super) fn unanswered_margin_passes(&self) -> u64 {
         self.unanswered_margin.0.div_ceil(self.pass_length.0.max(1))
     }
--- a/crates/core/src/direct/map_orders/versions.rs
+++ b/crates/core/src/direct/map_orders/versions.rs
@@ -1,21 +1,23 @@
-//! Versions of expert maps: each names one map for good.
+//! Allocator of expert map versions: each version names one map permanently.
+//! Input: a leader's fencing token and the newest version in use. State: the next free version.
+//! It decides the version of the next map, or that the leader's token has no version left.
 
-/// Versions that belong to one fencing token: at the users a switch takes 0.6 s, so these last for
-/// half a day. With tokens below 2^37 they stay whole numbers in JSON.
-const EACH: u64 = 1 << 16;
+/// Versions that belong to one fencing token. A switch takes 0.6 s, so they last for half a day.
+/// With tokens below 2^37, versions stay below 2^53 and so are exact as JSON numbers.
+const VERSIONS_PER_TOKEN: u64 = 1 << 16;
 
-/// The versions that one leader of a group has left. Those of a later leader are all higher.
+/// The versions that one leader of a group has left. All versions of a later leader are higher.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Versions {
     fencing_token: u64,
-    /// The next one that was not given out.
+    /// The lowest version that is not allocated.
     next: u64,
 }
 
 impl Versions {
     /// All versions of a leader with this fencing token.
     pub fn of_fencing_token(fencing_token: u64) -> Versions {
-        Versions { fencing_token, next: fencing_token.saturating_mul(EACH) }
+        Versions { fencing_token, next: fencing_token.saturating_mul(VERSIONS_PER_TOKEN) }
     }
 
     /// The leader's fencing token.
@@ -23,11 +25,11 @@
         self.fencing_token
     }
 
-    /// Gives out a version above `newest`, never one that was given out before; `None` if this leader
-    /// has none left.
+    /// Allocates a version above `newest`, never the same version twice; `None` if this leader has
+    /// none left.
     pub fn allocate_above(&mut self, newest: u64) -> Option<u64> {
         let version = self.next.max(newest.saturating_add(1));
-        let end = self.fencing_token.saturating_add(1).saturating_mul(EACH);
+        let end = self.fencing_token.saturating_add(1).saturating_mul(VERSIONS_PER_TOKEN);
         if version >= end {
             return None;
         }
--- a/crates/core/src/direct/passes.rs
+++ b/crates/core/src/direct/passes.rs
@@ -1,4 +1,6 @@
-//! How long the passes of groups take, from the numbers of passes that ranks tell.
+//! Estimator of the pass length of a service's groups.
+//! Input: the pass numbers that ranks report. State: each rank's last report and a moving mean.
+//! It decides how long a pass is expected to take.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +8,16 @@
 use crate::direct::pool::Server;
 use crate::util::arena::Key;
 
-/// Lengths that are believed: a group without work makes no passes, and its counter stands still.
-const LENGTHS_MS: (f64, f64) = (10.0, 1_000.0);
+/// Range to which lengths are clamped: a group without work makes no passes, and its pass number
+/// does not change.
+const LENGTH_RANGE_MS: (f64, f64) = (10.0, 1_000.0);
 
-/// Part of a new length in the mean: readings come each 120 ms and show one to three passes.
-const NEWEST: f64 = 0.2;
+/// Weight of a new length in the mean: reports come every 120 ms and show one to three passes.
+const NEWEST_WEIGHT: f64 = 0.2;
 
-/// The pass that a rank told last.
+/// The last pass that a rank reported.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct LastPass {
     epoch: u64,
     pass: u64,
     at: Millis,
@@ -23,33 +26,33 @@
 /// Mean length of the passes of a service's groups.
 #[derive(Clone, Debug, Default)]
 pub struct Passes {
-    told: BTreeMap<Key<Server>, Told>,
+    last_passes: BTreeMap<Key<Server>, LastPass>,
     mean_ms: Option<f64>,
 }
 
 impl Passes {
-    /// A rank told the last pass that has begun, in this life of its group.
+    /// Records the last pass that has begun, as a rank reports it, in this epoch of its group.
     pub fn record(&mut self, rank: Key<Server>, epoch: u64, pass: u64, at: Millis) {
-        let last = self.told.get(&rank).copied().filter(|last| last.epoch == epoch);
+        let last = self.last_passes.get(&rank).copied().filter(|last| last.epoch == epoch);
         if let Some(last) = last {
             if pass <= last.pass {
-                // The span goes on until a pass is seen to have begun.
+                // The span continues until a new pass has begun.
                 return;
             }
             self.count(at.since(last.at), pass - last.pass);
         }
-        self.told.insert(rank, Told { epoch, pass, at });
+        self.last_passes.insert(rank, LastPass { epoch, pass, at });
     }
 
-    /// So many passes have begun within a span.
+    /// Updates the mean with the passes that have begun within a span.
     fn count(&mut self, span: Millis, passes: u64) {
-        let (least, most) = LENGTHS_MS;
-        let length = (span.0 as f64 / passes as f64).clamp(least, most);
+        let (min, max) = LENGTH_RANGE_MS;
+        let length = (span.0 as f64 / passes as f64).clamp(min, max);
         let mean = self.mean_ms.get_or_insert(length);
-        *mean += NEWEST * (length - *mean);
+        *mean += NEWEST_WEIGHT * (length - *mean);
     }
 
-    /// How long a pass takes, as far as that is known.
+    /// Mean length of a pass; `None` before the first passes are recorded.
     pub fn length(&self) -> Option<Millis> {
         self.mean_ms.map(|mean| Millis(mean as u64))
     }
