--- a/crates/core/tests/expert_layouts.rs
+++ b/crates/core/tests/expert_layouts.rs
@@ -1,4 +1,7 @@
-//! Where experts go: how demand is followed, and which switches are worth their copies.
+//! Tests of expert layouts and of the demand estimate from which they are planned.
+//!
+//! They guard against switches that cost more than they gain, against missed gains where copies are
+//! quick, and against an estimate that follows a shift of demand too late.
 
 use hooktrestle_core::direct::expert_demand::Demand;
 use hooktrestle_core::direct::expert_layout;
@@ -8,7 +11,7 @@
 
 const RANKS: usize = 8;
 
-/// One set of 32 experts on 8 ranks, where a copy takes this long.
+/// One set of 32 experts, where a copy takes `copy_ms`.
 fn shape(copy_ms: f64) -> ExpertShape {
     ExpertShape {
         sets: 1,
@@ -20,7 +23,7 @@
     }
 }
 
-/// Demand that one reading showed: these experts chosen so much more often than the others.
+/// Demand from one counter snapshot; each expert in `hot` is chosen more often by its factor.
 fn demand(shape: &ExpertShape, hot: &[(usize, u64)]) -> Demand {
     let mut counts = vec![1_000; shape.experts];
     for (expert, factor) in hot {
@@ -34,7 +37,8 @@
 
 #[test]
 fn a_switch_takes_more_copies_where_they_are_quick() {
-    // All that is hot lies on the first of two ranks: each copy takes an eighth of it to the other.
+    // All hot experts are on the first of two ranks: each copy moves an eighth of their load to the
+    // other.
     let paces = [1.0; 2];
     let hot: Vec<(usize, u64)> = (0..8).map(|place| (2 * place, 400)).collect();
     let copies = |copy_ms: f64| {
@@ -43,7 +47,7 @@
         let after = expert_layout::plan(&shape, &demand(&shape, &hot), &before, &paces)?;
         expert_plan::new_experts(&before[0], &after.layout[0], paces.len()).into_iter().max()
     };
-    // One slow copy alone gains less than it costs.
+    // A single slow copy gains less than it costs.
     assert_eq!([400.0, 148.0, 76.0, 40.0].map(copies), [None, Some(1), Some(2), Some(4)]);
 }
 
@@ -82,15 +86,16 @@
     assert!(shares[9] > shares[5], "{} and {}", shares[9], shares[5]);
 }
 
-/// Demand as it was seen on groups of 96 ranks: the hottest expert of a set has four times the mean load of
-/// a rank, and half of the experts less than a quarter of it. Even with 96 copies beyond the first
-/// of each expert, the ranks end far apart if small gains are not worth a copy.
+/// Demand observed on groups of 96 ranks: the hottest expert of a set has four times the mean load
+/// of a rank, and half of the experts have less than a quarter of it. Even with 96 copies beyond
+/// the first of each expert, the loads of the ranks end far apart if small gains are not worth a
+/// copy.
 #[test]
 fn quick_copies_are_made_for_small_gains_too() {
     let skew_after = |copy_ms: f64| {
         let shape = ExpertShape { experts: 192, places: 3, spare: 2, ..shape(copy_ms) };
         let counts = (0..shape.experts).map(|place| {
-            // Neighbours in popularity are far apart in the order of experts.
+            // Experts of similar popularity are far apart in the order of experts.
             let rank = (place * 85 + 31) % shape.experts;
             (4e4 * ((rank + 1) as f64).powf(-0.6)) as u64
         });
@@ -100,25 +105,26 @@
         let paces = [1.0; 96];
         let before = expert_layout::first(&shape, paces.len());
         let planned = expert_layout::plan(&shape, &demand, &before, &paces);
-        planned.expect("it is worth a switch").skew_after
+        planned.expect("the layout is worth a switch").skew_after
     };
     let [quick, slower] = [18.0, 76.0].map(skew_after);
     assert!(quick < 1.35, "{quick}");
     assert!(slower > quick + 0.1, "{slower} and {quick}");
 }
 
-/// Seen where a server of a group had crashed while no switch of it was under way: the group began anew with its first
-/// map, skew 3.4, and had it for 8 s, since its leader planned on from the map that it had before.
+/// Guards against plans from a map that the group does not have any more. A server of the group
+/// crashes while no switch is under way, and the group restarts with its initial map. If the leader
+/// plans from the earlier map, the group keeps the initial map, with a skew of 3.4, for 8 s.
 #[test]
 fn the_life_of_a_group_is_the_newest_that_its_ranks_told() {
     let shape = shape(40.0);
-    let (one, other, elsewhere) = (Key::from_index(0), Key::from_index(1), Key::from_index(2));
+    let (one, other, other_group) = (Key::from_index(0), Key::from_index(1), Key::from_index(2));
     let mut demand = Demand::new(&shape);
     assert_eq!(demand.epoch_of(&[one, other]), None);
     demand.record(one, 4, vec![0; shape.experts]);
-    demand.record(elsewhere, 9, vec![0; shape.experts]);
+    demand.record(other_group, 9, vec![0; shape.experts]);
     assert_eq!(demand.epoch_of(&[one, other]), Some(4));
     demand.record(other, 5, vec![0; shape.experts]);
     demand.record(one, 4, vec![7; shape.experts]);
-    assert_eq!(demand.epoch_of(&[one, other]), Some(5), "one of them told late");
+    assert_eq!(demand.epoch_of(&[one, other]), Some(5), "one of them reported late");
 }
--- a/crates/core/tests/expert_plans.rs
+++ b/crates/core/tests/expert_plans.rs
@@ -1,5 +1,7 @@
-//! Plans of one set's experts: held against a search that weighs every rank for every change, and for
-//! groups of any size.
+//! Tests of expert placement plans for one set.
+//!
+//! They guard against a plan that is worse than that of a search which evaluates every rank for
+//! each change, and against a group size that the planner cannot handle.
 
 use hooktrestle_core::direct::expert_layout;
 use hooktrestle_core::direct::expert_plan;
@@ -10,20 +12,20 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// The norm that plans lower, over the mean load.
+/// The norm that a plan minimises, relative to the mean load.
 fn norm(holders: &[Holders], shares: &[f64], paces: &[f64]) -> f64 {
-    let tokens_a_time: f64 = paces.iter().map(|pace| 1.0 / pace).sum();
-    let mean = shares.iter().sum::<f64>() / tokens_a_time;
+    let total_speed: f64 = paces.iter().map(|pace| 1.0 / pace).sum();
+    let mean = shares.iter().sum::<f64>() / total_speed;
     let loads = expert_plan::loads(holders, shares, paces);
     loads.iter().map(|load| (load / mean).powi(8)).sum::<f64>().powf(1.0 / 8.0)
 }
 
-/// Every placement that one change reaches, and how many copies it needs; changes as the search knows
-/// them, found by trying all pairs.
+/// Every placement that one change reaches. The changes are of the same kinds as in the planner,
+/// found by trying all pairs.
 fn changes(current: &[Holders], shares: &[f64], limits: &Limits) -> Vec<Vec<Holders>> {
     let loads = expert_plan::loads(current, shares, &limits.paces);
-    let tokens_a_time: f64 = limits.paces.iter().map(|pace| 1.0 / pace).sum();
-    let mean = shares.iter().sum::<f64>() / tokens_a_time;
+    let total_speed: f64 = limits.paces.iter().map(|pace| 1.0 / pace).sum();
+    let mean = shares.iter().sum::<f64>() / total_speed;
     let slowest = (0..loads.len()).max_by(|a, b| loads[*a].total_cmp(&loads[*b])).expect("ranks");
     let (from, mut found) = (slowest as Rank, Vec::new());
     let with = |edits: &[(usize, Option<Rank>, Option<Rank>)]| {
@@ -45,7 +47,7 @@
                 continue;
             }
             let (added, moved) = ((expert, Some(to), None), (expert, Some(to), Some(from)));
-            // Nothing has to go from a rank that has room.
+            // No expert needs to be removed from a rank that has free places.
             if current.iter().filter(|one| one.contains(to)).count() < limits.places {
                 found.extend([with(&[added]), with(&[moved])]);
                 continue;
@@ -65,28 +67,28 @@
     found
 }
 
-/// Whether a placement keeps to the bounds of a plan that begins at `start`.
-fn keeps_bounds(start: &[Holders], next: &[Holders], limits: &Limits) -> bool {
+/// Whether a placement is within the limits of a plan that starts from `start`.
+fn is_within_limits(start: &[Holders], next: &[Holders], limits: &Limits) -> bool {
     let ranks = limits.paces.len();
     let held = |rank: usize| next.iter().filter(|one| one.contains(rank as Rank)).count();
     let new = expert_plan::new_experts(start, next, ranks);
     next.iter().all(|holders| !holders.is_empty())
         && (0..ranks).all(|rank| held(rank) <= limits.places)
-        && new.iter().zip(&limits.max_new_experts).all(|(new, most)| new <= most)
+        && new.iter().zip(&limits.max_new_experts).all(|(new, limit)| new <= limit)
 }
 
-/// The same search, slow and obvious: each change is made on a copy, and all is counted anew.
-fn plan_slowly(start: &[Holders], shares: &[f64], limits: &Limits) -> Vec<Holders> {
+/// Reference search: it applies each change to a copy of the placement and recomputes all values.
+fn reference_plan(start: &[Holders], shares: &[f64], limits: &Limits) -> Vec<Holders> {
     let ranks = limits.paces.len();
     let copies = |from: &[Holders], to: &[Holders]| {
-        // Copies of what the start has are free.
+        // A copy to a rank that held the expert at the start costs nothing.
         let gained = |(index, (old, new)): (usize, (&Holders, &Holders))| {
             let is_copy = |rank: &Rank| !old.contains(*rank) && !start[index].contains(*rank);
             new.iter().filter(is_copy).count()
         };
         from.iter().zip(to).enumerate().map(gained).sum::<usize>()
     };
-    // One that is full of new experts gets no other, also not in place of one of them.
+    // A rank with the maximum number of new experts gets no other, not even in exchange for one.
     let has_room = |from: &[Holders], to: &[Holders]| {
         let new = expert_plan::new_experts(start, from, ranks);
         let gains = |rank: usize| {
@@ -103,7 +105,7 @@
         let before = norm(&current, shares, &limits.paces);
         let mut best: Option<(f64, Vec<Holders>)> = None;
         for next in changes(&current, shares, limits) {
-            if !keeps_bounds(start, &next, limits) || !has_room(&current, &next) {
+            if !is_within_limits(start, &next, limits) || !has_room(&current, &next) {
                 continue;
             }
             let copies = copies(&current, &next);
@@ -123,7 +125,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Weighing only the ranks that a change touches finds what weighing all of them finds.
+    /// A search that evaluates only the ranks affected by a change is as good as one that evaluates
+    /// all ranks.
     #[test]
     fn plans_are_those_of_the_slow_search(
         shares in vec(0.01f64..1.0, 14),
@@ -137,14 +140,14 @@
         let limits = Limits { places, max_new_experts: vec![new_at; 5], copy_cost: 0.02, paces };
         let start = expert_plan::round_robin(14, 5);
         let fast = expert_plan::plan(&start, &shares, &limits);
-        let slow = plan_slowly(&start, &shares, &limits);
-        prop_assert!(keeps_bounds(&start, &fast, &limits));
+        let slow = reference_plan(&start, &shares, &limits);
+        prop_assert!(is_within_limits(&start, &fast, &limits));
         let [fast, slow] = [fast, slow].map(|found| norm(&found, &shares, &limits.paces));
         prop_assert!((fast - slow).abs() < 1e-6, "{fast} and {slow}");
     }
 }
 
-/// Two sets of twice as many experts as ranks.
+/// Two sets, each with twice as many experts as ranks.
 fn shape(ranks: usize) -> ExpertShape {
     ExpertShape {
         sets: 2,
@@ -156,8 +159,8 @@
     }
 }
 
-/// What a group's ranks hold is the same whether it is read from the layout or from each rank, and a
-/// hot expert of the last rank is spread, whatever the size of the group.
+/// For groups of any size, a layout is the same after conversion to the experts of each rank and
+/// back, and a hot expert of the last rank is spread over more ranks.
 #[test]
 fn groups_of_any_size_have_maps() {
     for ranks in [1, 8, 12, 24, 63, 64, 65, 96, 128, 256, 1_000] {
@@ -165,9 +168,13 @@
         let first = expert_layout::first(&shape, ranks);
         let by_rank = expert_layout::by_rank(&first, ranks);
         assert!(by_rank[0].iter().all(|held| held.len() == 2), "{ranks} ranks hold two each");
-        let told: Vec<Vec<Vec<u16>>> =
+        let reported: Vec<Vec<Vec<u16>>> =
             (0..ranks).map(|rank| by_rank.iter().map(|set| set[rank].clone()).collect()).collect();
-        assert_eq!(expert_layout::from_ranks(&shape, &told), Some(first.clone()), "{ranks} ranks");
+        assert_eq!(
+            expert_layout::from_ranks(&shape, &reported),
+            Some(first.clone()),
+            "{ranks} ranks"
+        );
         let mut shares = vec![1.0; shape.experts];
         shares[ranks - 1] = 20.0;
         let limits = Limits {
--- a/crates/core/tests/frozen_senders.rs
+++ b/crates/core/tests/frozen_senders.rs
@@ -1,8 +1,9 @@
-//! Switches of expert maps while machines stand still, each upon an order that it gives.
+//! Tests of expert map switches while machines freeze, each right after it has sent an order.
 //!
-//! A rank's own machine gives it most orders at no price, and nobody reaches the rank while that
-//! machine stands still. Gateways can give orders, too. In each pass all ranks use one map, and a
-//! group is never held for long while its ranks can be reached.
+//! Most orders to a rank are sent by the rank's own machine, which adds no cost, but no other
+//! machine reaches the rank while its own is frozen. Gateways can send orders too. The tests guard
+//! against a pass in which ranks use two maps, and against a group that is held for long although
+//! all its ranks can be reached.
 
 mod ranks;
 
@@ -27,74 +28,75 @@
 use ranks::Content;
 use ranks::Group;
 
-/// Ticks of 50 ms: a pass each.
+/// Length of a tick. A group makes one pass in each.
 const TICK_MS: u64 = 50;
 
-/// Ticks that an order without an answer takes: 250 ms.
+/// Ticks until an order without an answer times out: 250 ms.
 const UNANSWERED_TICKS: u64 = 5;
 
-/// Ticks for which a group may be held while all its ranks can be reached: one order without an answer
-/// for each machine that stands still upon it, two at most here, and as much again for looks.
-const MOST_HELD: u64 = 4 * UNANSWERED_TICKS;
+/// Ticks for which a group may be held while all its ranks can be reached: one order without an
+/// answer for each machine that freezes after it, at most two here, and as much again for polls.
+const MAX_HELD_TICKS: u64 = 4 * UNANSWERED_TICKS;
 
 const GATEWAYS: u8 = 5;
 
-/// Orders upon which a machine stands still.
+/// The kind of order after which a machine freezes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Upon {
+enum FreezeAfter {
     Prepare,
     Hold,
     Arm,
     Go,
 }
 
-impl Upon {
-    const ALL: [Upon; 4] = [Upon::Prepare, Upon::Hold, Upon::Arm, Upon::Go];
+impl FreezeAfter {
+    const ALL: [FreezeAfter; 4] =
+        [FreezeAfter::Prepare, FreezeAfter::Hold, FreezeAfter::Arm, FreezeAfter::Go];
 
-    fn is(self, order: Order) -> bool {
+    fn applies_to(self, order: Order) -> bool {
         match self {
-            Upon::Prepare => matches!(order, Order::Prepare { .. }),
-            Upon::Hold => matches!(order, Order::Hold { .. }),
-            Upon::Arm => matches!(order, Order::Arm { .. }),
-            Upon::Go => matches!(order, Order::Go { .. }),
+            FreezeAfter::Prepare => matches!(order, Order::Prepare { .. }),
+            FreezeAfter::Hold => matches!(order, Order::Hold { .. }),
+            FreezeAfter::Arm => matches!(order, Order::Arm { .. }),
+            FreezeAfter::Go => matches!(order, Order::Go { .. }),
         }
     }
 }
 
-/// What is to happen.
+/// The faults of one run.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
-    upon: Upon,
-    /// How long each machine stands still, in ticks.
+struct Faults {
+    freeze_after: FreezeAfter,
+    /// How long each machine is frozen, in ticks.
     frozen_ticks: u64,
-    /// How many machines still do so, one after the other.
-    left: u32,
-    /// Part of the orders that get no answer and are carried out late.
-    late: f64,
-    /// Tick in which a rank is born anew.
-    reborn_at: Option<u64>,
-    /// Tick in which the leader dies; its successor begins a second later.
-    leader_dies_at: Option<u64>,
+    /// How many machines are still to freeze, one after the other.
+    freezes_left: u32,
+    /// Fraction of the orders that get no answer and are carried out late.
+    late_fraction: f64,
+    /// Tick in which a rank restarts.
+    restart_at: Option<u64>,
+    /// Tick in which the leader crashes; its successor starts a second later.
+    leader_crash_at: Option<u64>,
 }
 
-struct World {
+struct Simulation {
     group: Group,
-    trouble: Trouble,
-    /// When each rank's machine goes on.
-    beside_until: Vec<u64>,
-    /// When each gateway goes on.
-    gateway_until: Vec<u64>,
+    faults: Faults,
+    /// Tick until which each rank's machine is frozen.
+    machine_frozen_until: Vec<u64>,
+    /// Tick until which each gateway is frozen.
+    gateway_frozen_until: Vec<u64>,
     relays: Relays,
     rng: ChaCha8Rng,
 }
 
-impl World {
-    fn new(ranks: usize, trouble: Trouble, seed: u64) -> World {
-        World {
+impl Simulation {
+    fn new(ranks: usize, faults: Faults, seed: u64) -> Simulation {
+        Simulation {
             group: Group::new(ranks),
-            trouble,
-            beside_until: vec![0; ranks],
-            gateway_until: vec![0; usize::from(GATEWAYS)],
+            faults,
+            machine_frozen_until: vec![0; ranks],
+            gateway_frozen_until: vec![0; usize::from(GATEWAYS)],
             relays: Relays::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -105,29 +107,29 @@
     }
 
     fn is_reached(&self, rank: usize) -> bool {
-        self.beside_until[rank] <= self.group.now
+        self.machine_frozen_until[rank] <= self.group.now
     }
 
-    /// Whether nobody can reach some rank.
-    fn is_cut_off(&self) -> bool {
-        (0..self.beside_until.len()).any(|rank| !self.is_reached(rank))
+    /// Whether some rank cannot be reached.
+    fn is_any_rank_unreachable(&self) -> bool {
+        (0..self.machine_frozen_until.len()).any(|rank| !self.is_reached(rank))
     }
 
     fn order(&mut self, rank: usize, fenced: FencedOrder, content: Content) -> Reply {
-        let living: Vec<IpAddr> =
+        let alive: Vec<IpAddr> =
             (0..GATEWAYS).map(|last| IpAddr::V4(Ipv4Addr::new(10, 0, 0, last))).collect();
         let relay = match fenced.order.sender() {
             Sender::Local => None,
-            Sender::Remote => self.relays.next(&living, self.now_ms()),
+            Sender::Remote => self.relays.next(&alive, self.now_ms()),
         };
-        let reply = self.give(rank, fenced, content, relay.map(number_of));
+        let reply = self.send_order(rank, fenced, content, relay.map(gateway_index));
         if let (Reply::NoAnswer, Some(relay)) = (reply, relay) {
             self.relays.gave_none(relay, self.now_ms());
         }
         reply
     }
 
-    fn give(
+    fn send_order(
         &mut self,
         rank: usize,
         fenced: FencedOrder,
@@ -135,30 +137,30 @@
         gateway: Option<usize>,
     ) -> Reply {
         let now = self.group.now;
-        let stands_still = gateway.is_some_and(|gateway| self.gateway_until[gateway] > now);
-        if !self.is_reached(rank) || stands_still {
+        let is_frozen = gateway.is_some_and(|gateway| self.gateway_frozen_until[gateway] > now);
+        if !self.is_reached(rank) || is_frozen {
             return Reply::NoAnswer;
         }
-        if self.rng.random_bool(self.trouble.late) {
+        if self.rng.random_bool(self.faults.late_fraction) {
             let at = now + self.rng.random_range(1..=60);
-            self.group.late.push((at, rank, fenced, content));
+            self.group.late_orders.push((at, rank, fenced, content));
             return Reply::NoAnswer;
         }
         let reply = self.group.order(rank, fenced, content);
-        if self.trouble.upon.is(fenced.order) && self.trouble.left > 0 {
-            self.trouble.left -= 1;
-            let until = now + self.trouble.frozen_ticks;
+        if self.faults.freeze_after.applies_to(fenced.order) && self.faults.freezes_left > 0 {
+            self.faults.freezes_left -= 1;
+            let until = now + self.faults.frozen_ticks;
             match gateway {
-                Some(gateway) => self.gateway_until[gateway] = until,
-                None => self.beside_until[rank] = until,
+                Some(gateway) => self.gateway_frozen_until[gateway] = until,
+                None => self.machine_frozen_until[rank] = until,
             }
             return Reply::NoAnswer;
         }
         reply
     }
 
-    fn ask(&mut self, rank: usize, ask: RankRequest, content: Content) -> Reply {
-        match ask {
+    fn send(&mut self, rank: usize, request: RankRequest, content: Content) -> Reply {
+        match request {
             RankRequest::Report if self.is_reached(rank) => {
                 Reply::Report(self.group.report(rank, 0))
             }
@@ -168,86 +170,89 @@
     }
 }
 
-fn number_of(relay: IpAddr) -> usize {
+fn gateway_index(relay: IpAddr) -> usize {
     match relay {
         IpAddr::V4(address) => usize::from(address.octets()[3]),
-        IpAddr::V6(_) => unreachable!("all are IPv4"),
+        IpAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
-/// How a group fared.
+/// Result of one run.
 #[derive(Clone, Copy, Debug, Default)]
-struct Played {
-    /// Ticks in a row without a pass.
-    longest_still: u64,
-    /// The same, while all ranks could be reached.
+struct Outcome {
+    /// Longest sequence of ticks without a pass.
+    longest_stall: u64,
+    /// Longest sequence of ticks without a pass although all ranks could be reached.
     longest_held: u64,
-    /// Switches that were completed.
+    /// Number of completed switches.
     switched: u32,
 }
 
-/// Plays 20 s of one switch after the other.
-fn play(ranks: usize, trouble: Trouble, seed: u64) -> Played {
-    let mut world = World::new(ranks, trouble, seed);
-    let mut played = Played::default();
-    let mut fence = 1;
-    let mut content = world.group.plan();
-    let mut versions = Versions::of_fencing_token(fence);
+/// Runs 20 s of one switch after the other.
+fn run(ranks: usize, faults: Faults, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(ranks, faults, seed);
+    let mut outcome = Outcome::default();
+    let mut fencing_token = 1;
+    let mut content = simulation.group.plan();
+    let mut versions = Versions::of_fencing_token(fencing_token);
     let mut switch = begin(versions, ranks);
-    let (mut wakes, mut still, mut held) = (0, 0, 0);
+    let (mut wakes_at, mut stalled_ticks, mut held_ticks) = (0, 0, 0);
     for tick in 0..400 {
-        if trouble.reborn_at == Some(tick) {
-            world.group.reborn();
+        if faults.restart_at == Some(tick) {
+            simulation.group.restart();
         }
-        if trouble.leader_dies_at == Some(tick) {
-            fence += 1;
-            wakes = tick + 20;
-            versions = Versions::of_fencing_token(fence);
-            content = world.group.plan();
+        if faults.leader_crash_at == Some(tick) {
+            fencing_token += 1;
+            wakes_at = tick + 20;
+            versions = Versions::of_fencing_token(fencing_token);
+            content = simulation.group.plan();
             switch = begin(versions, ranks);
         }
-        // A round takes some milliseconds where all answer: several fit into a tick.
+        // A round takes some milliseconds if all ranks answer, so several fit into a tick.
         for _ in 0..4 {
-            if wakes > tick {
+            if wakes_at > tick {
                 break;
             }
             match switch.step() {
-                Next::Round(asks) => {
-                    let replies: Vec<(usize, RankRequest, Reply)> = asks
+                Next::Round(requests) => {
+                    let replies: Vec<(usize, RankRequest, Reply)> = requests
                         .into_iter()
-                        .map(|(rank, ask)| (rank, ask, world.ask(rank, ask, content)))
+                        .map(|(rank, request)| {
+                            (rank, request, simulation.send(rank, request, content))
+                        })
                         .collect();
                     if replies.iter().any(|(_, _, reply)| *reply == Reply::NoAnswer) {
-                        wakes = tick + UNANSWERED_TICKS;
+                        wakes_at = tick + UNANSWERED_TICKS;
                     }
                     switch.apply_replies(&replies);
                 }
-                Next::Pause(span) => wakes = tick + span.0.div_ceil(TICK_MS),
+                Next::Pause(span) => wakes_at = tick + span.0.div_ceil(TICK_MS),
                 ended => {
-                    played.switched += u32::from(ended == Next::Switched);
+                    outcome.switched += u32::from(ended == Next::Switched);
                     versions = switch.versions();
-                    content = world.group.plan();
+                    content = simulation.group.plan();
                     switch = begin(versions, ranks);
-                    wakes = tick + 10;
+                    wakes_at = tick + 10;
                 }
             }
         }
-        let before = world.group.ranks[0].report.pass;
-        world.group.tick();
+        let before = simulation.group.ranks[0].report.pass;
+        simulation.group.tick();
         assert_eq!(
-            world.group.passes_with_two_maps, 0,
-            "{trouble:?}, seed {seed}: two maps in a pass, tick {tick}"
+            simulation.group.passes_with_two_maps, 0,
+            "{faults:?}, seed {seed}: two maps in a pass, tick {tick}"
         );
-        let stands_still = world.group.ranks[0].report.pass == before;
-        still = if stands_still { still + 1 } else { 0 };
-        held = if stands_still && !world.is_cut_off() { held + 1 } else { 0 };
-        played.longest_still = played.longest_still.max(still);
-        let excused = trouble.leader_dies_at.is_some_and(|at| (at..at + 40).contains(&tick));
+        let stalled = simulation.group.ranks[0].report.pass == before;
+        stalled_ticks = if stalled { stalled_ticks + 1 } else { 0 };
+        held_ticks =
+            if stalled && !simulation.is_any_rank_unreachable() { held_ticks + 1 } else { 0 };
+        outcome.longest_stall = outcome.longest_stall.max(stalled_ticks);
+        let excused = faults.leader_crash_at.is_some_and(|at| (at..at + 40).contains(&tick));
         if !excused {
-            played.longest_held = played.longest_held.max(held);
+            outcome.longest_held = outcome.longest_held.max(held_ticks);
         }
     }
-    played
+    outcome
 }
 
 fn begin(versions: Versions, ranks: usize) -> Switch {
@@ -256,17 +261,17 @@
     Switch::new(config, versions, ranks, Start::Unknown, Millis::ZERO)
 }
 
-fn troubles() -> impl Iterator<Item = Trouble> {
+fn all_faults() -> impl Iterator<Item = Faults> {
     let lengths = [1, 4, 10, 20, 40, 60, 100, 160];
-    Upon::ALL.into_iter().flat_map(move |upon| {
+    FreezeAfter::ALL.into_iter().flat_map(move |freeze_after| {
         lengths.into_iter().flat_map(move |frozen_ticks| {
-            [1, 2].map(|left| Trouble {
-                upon,
+            [1, 2].map(|freezes_left| Faults {
+                freeze_after,
                 frozen_ticks,
-                left,
-                late: 0.0,
-                reborn_at: None,
-                leader_dies_at: None,
+                freezes_left,
+                late_fraction: 0.0,
+                restart_at: None,
+                leader_crash_at: None,
             })
         })
     })
@@ -274,21 +279,27 @@
 
 #[test]
 fn a_machine_that_stands_still_upon_a_hold_does_not_hold_the_group() {
-    for trouble in troubles().filter(|trouble| trouble.upon == Upon::Hold) {
+    for faults in all_faults().filter(|faults| faults.freeze_after == FreezeAfter::Hold) {
         for ranks in [2, 5, 12] {
-            let played = play(ranks, trouble, 1);
-            assert!(played.switched > 4, "{trouble:?}, {ranks} ranks: {played:?}");
-            assert!(played.longest_still <= MOST_HELD, "{trouble:?}, {ranks} ranks: {played:?}");
+            let outcome = run(ranks, faults, 1);
+            assert!(outcome.switched > 4, "{faults:?}, {ranks} ranks: {outcome:?}");
+            assert!(
+                outcome.longest_stall <= MAX_HELD_TICKS,
+                "{faults:?}, {ranks} ranks: {outcome:?}"
+            );
         }
     }
 }
 
 #[test]
 fn a_group_is_held_for_a_bounded_time_while_its_ranks_can_be_reached() {
-    for trouble in troubles() {
+    for faults in all_faults() {
         for ranks in [2, 5, 12] {
-            let played = play(ranks, trouble, 2);
-            assert!(played.longest_held <= MOST_HELD, "{trouble:?}, {ranks} ranks: {played:?}");
+            let outcome = run(ranks, faults, 2);
+            assert!(
+                outcome.longest_held <= MAX_HELD_TICKS,
+                "{faults:?}, {ranks} ranks: {outcome:?}"
+            );
         }
     }
 }
@@ -296,16 +307,16 @@
 #[test]
 fn late_orders_reborn_ranks_and_dying_leaders_bring_no_second_map() {
     let mut switched = 0;
-    for (number, trouble) in troubles().enumerate() {
+    for (number, faults) in all_faults().enumerate() {
         for seed in 0..12 {
-            let trouble = Trouble {
-                late: [0.0, 0.1, 0.3][seed as usize % 3],
-                reborn_at: (seed % 4 == 1).then_some(30 + 7 * seed),
-                leader_dies_at: (seed % 4 >= 2).then_some(5 + 9 * seed),
-                ..trouble
+            let faults = Faults {
+                late_fraction: [0.0, 0.1, 0.3][seed as usize % 3],
+                restart_at: (seed % 4 == 1).then_some(30 + 7 * seed),
+                leader_crash_at: (seed % 4 >= 2).then_some(5 + 9 * seed),
+                ..faults
             };
-            switched += play(2 + number % 4, trouble, seed).switched;
+            switched += run(2 + number % 4, faults, seed).switched;
         }
     }
-    assert!(switched > 1_000, "{switched} switches: too few to show anything");
+    assert!(switched > 1_000, "{switched} switches: too few for a meaningful test");
 }
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -1,8 +1,9 @@
-//! Switches of expert maps against ranks that lose orders, carry them out late and are reborn, and
-//! leaders that die, freeze and meet their successors.
+//! Tests of expert map switches with ranks that lose orders, carry them out late and restart, and
+//! with leaders that crash, freeze, and run at the same time as their successors.
 //!
-//! Each schedule is drawn from a seed. In every pass all ranks must use one map, by version and by
-//! content, and once faults end, no group stays held.
+//! They guard against a pass in which two ranks use different maps, by version or by content, and
+//! against a group that stays held after the faults have ended. Each schedule of faults is drawn
+//! from a seed.
 
 mod ranks;
 
@@ -22,91 +23,91 @@
 use ranks::Content;
 use ranks::Group;
 
-/// Ticks that a report is late by, at most.
-const REPORT_LAG: usize = 3;
+/// Maximum age of a report, in ticks.
+const MAX_REPORT_LAG_TICKS: usize = 3;
 
-/// Ticks after which a late order is carried out, at most.
-const MOST_LATE: u64 = 60;
+/// Maximum delay of an order that is carried out late, in ticks.
+const MAX_DELAY_TICKS: u64 = 60;
 
-/// How orders fare.
+/// Probabilities of faults.
 #[derive(Clone, Copy)]
-struct Weather {
+struct Faults {
     lost: f64,
     unanswered: f64,
     late: f64,
-    reborn: f64,
-    leader_dies: f64,
-    leader_freezes: f64,
-    /// A switch is left where it is before a round: a rank is not listed for a moment.
+    restart: f64,
+    leader_crash: f64,
+    leader_freeze: f64,
+    /// A rank is not listed for a moment, so that the leader withdraws its switch before a round.
     withdrawn: f64,
 }
 
-const CALM: Weather = Weather {
+const NO_FAULTS: Faults = Faults {
     lost: 0.0,
     unanswered: 0.0,
     late: 0.0,
-    reborn: 0.0,
-    leader_dies: 0.0,
-    leader_freezes: 0.0,
+    restart: 0.0,
+    leader_crash: 0.0,
+    leader_freeze: 0.0,
     withdrawn: 0.0,
 };
 
-const STORM: Weather = Weather {
+const HEAVY_FAULTS: Faults = Faults {
     lost: 0.1,
     unanswered: 0.1,
     late: 0.25,
-    reborn: 0.004,
-    leader_dies: 0.02,
-    leader_freezes: 0.03,
+    restart: 0.004,
+    leader_crash: 0.02,
+    leader_freeze: 0.03,
     withdrawn: 0.02,
 };
 
-fn ask(
+fn send(
     group: &mut Group,
-    weather: Weather,
+    faults: Faults,
     index: usize,
-    (ask, content): (RankRequest, Content),
+    (request, content): (RankRequest, Content),
     rng: &mut ChaCha8Rng,
 ) -> Reply {
-    let fenced = match ask {
-        RankRequest::Report if rng.random_bool(weather.lost) => return Reply::NoAnswer,
+    let fenced = match request {
+        RankRequest::Report if rng.random_bool(faults.lost) => return Reply::NoAnswer,
         RankRequest::Report => {
-            let lag = rng.random_range(0..=REPORT_LAG);
+            let lag = rng.random_range(0..=MAX_REPORT_LAG_TICKS);
             return Reply::Report(group.report(index, lag));
         }
         RankRequest::Order(fenced) => fenced,
     };
-    if rng.random_bool(weather.lost) {
+    if rng.random_bool(faults.lost) {
         return Reply::NoAnswer;
     }
-    if rng.random_bool(weather.late) {
-        let at = group.now + rng.random_range(1..=MOST_LATE);
-        group.late.push((at, index, fenced, content));
+    if rng.random_bool(faults.late) {
+        let at = group.now + rng.random_range(1..=MAX_DELAY_TICKS);
+        group.late_orders.push((at, index, fenced, content));
         return Reply::NoAnswer;
     }
     let reply = group.order(index, fenced, content);
-    if rng.random_bool(weather.unanswered) { Reply::NoAnswer } else { reply }
+    if rng.random_bool(faults.unanswered) { Reply::NoAnswer } else { reply }
 }
 
-/// A leader with a switch under way, part of whose round may be out.
+/// A leader with a switch under way, in the middle of a round or between rounds.
 struct Leader {
     switch: Switch,
-    /// What the switch's map holds.
+    /// Content of the switch's map.
     content: Content,
-    /// Asks of the present round that were not sent yet, and the replies so far.
+    /// Requests of the current round that are not sent yet, and the replies so far.
     round: Vec<(usize, RankRequest)>,
     replies: Vec<(usize, RankRequest, Reply)>,
-    wakes: u64,
+    wakes_at: u64,
     over: bool,
 }
 
 impl Leader {
-    fn new(fence: u64, group: &mut Group) -> Leader {
+    fn new(fencing_token: u64, group: &mut Group) -> Leader {
         let ranks = group.ranks.len();
         Leader {
             switch: Switch::new(
                 config(),
-                Versions::of_fencing_token(fence),
+                Versions::of_fencing_token(fencing_token),
                 ranks,
                 Start::Unknown,
                 Millis::ZERO,
@@ -114,35 +115,35 @@
             content: group.plan(),
             round: Vec::new(),
             replies: Vec::new(),
-            wakes: 0,
+            wakes_at: 0,
             over: false,
         }
     }
 
-    /// One order or one question; true when a switch was completed.
-    fn step(&mut self, group: &mut Group, weather: Weather, rng: &mut ChaCha8Rng) -> bool {
-        if self.over || self.wakes > group.now {
+    /// Sends one request, or takes one step of the switch; true when a switch was completed.
+    fn step(&mut self, group: &mut Group, faults: Faults, rng: &mut ChaCha8Rng) -> bool {
+        if self.over || self.wakes_at > group.now {
             return false;
         }
-        if rng.random_bool(weather.leader_freezes) {
-            self.wakes = group.now + rng.random_range(1..40);
+        if rng.random_bool(faults.leader_freeze) {
+            self.wakes_at = group.now + rng.random_range(1..40);
             return false;
         }
-        if let Some((index, one)) = self.round.pop() {
-            let reply = ask(group, weather, index, (one, self.content), rng);
-            self.replies.push((index, one, reply));
+        if let Some((index, unsent)) = self.round.pop() {
+            let reply = send(group, faults, index, (unsent, self.content), rng);
+            self.replies.push((index, unsent, reply));
             if self.round.is_empty() {
                 let replies = std::mem::take(&mut self.replies);
                 self.switch.apply_replies(&replies);
             }
             return false;
         }
-        if rng.random_bool(weather.withdrawn) {
+        if rng.random_bool(faults.withdrawn) {
             self.switch.withdraw();
         }
         match self.switch.step() {
-            Next::Round(asks) => self.round = asks,
-            Next::Pause(_) => self.wakes = group.now + REPORT_LAG as u64 + 1,
+            Next::Round(requests) => self.round = requests,
+            Next::Pause(_) => self.wakes_at = group.now + MAX_REPORT_LAG_TICKS as u64 + 1,
             Next::Superseded => self.over = true,
             next => {
                 let start = match self.switch.epoch() {
@@ -169,31 +170,31 @@
     Config { passes_ahead: 4, ..Config::default() }
 }
 
-/// Plays one schedule; returns the switches that were completed.
-fn play(seed: u64, ranks: usize, weather: Weather, group: &mut Group) -> u32 {
+/// Runs one schedule of faults; returns the number of completed switches.
+fn run_schedule(seed: u64, ranks: usize, faults: Faults, group: &mut Group) -> u32 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut fence = 1;
-    let mut leaders = vec![Leader::new(fence, group)];
+    let mut fencing_token = 1;
+    let mut leaders = vec![Leader::new(fencing_token, group)];
     let mut switched = 0;
     for tick in 0..600 {
         let calm = tick >= 450;
-        let weather = if calm { CALM } else { weather };
-        if rng.random_bool(weather.reborn) {
-            group.reborn();
+        let faults = if calm { NO_FAULTS } else { faults };
+        if rng.random_bool(faults.restart) {
+            group.restart();
         }
         group.busy = calm || rng.random_bool(0.9);
-        let succeeded = rng.random_bool(weather.leader_dies) || tick == 450;
-        if succeeded {
-            fence += 1;
+        let leader_changes = rng.random_bool(faults.leader_crash) || tick == 450;
+        if leader_changes {
+            fencing_token += 1;
             if rng.random_bool(0.5) {
-                // It died; otherwise it is only believed to be dead, and goes on.
+                // The old leader has crashed; otherwise it is only suspected, and continues.
                 leaders.clear();
             }
-            leaders.push(Leader::new(fence, group));
+            leaders.push(Leader::new(fencing_token, group));
         }
         for leader in &mut leaders {
             for _ in 0..rng.random_range(1..=ranks + 1) {
-                switched += u32::from(leader.step(group, weather, &mut rng));
+                switched += u32::from(leader.step(group, faults, &mut rng));
             }
         }
         group.tick();
@@ -205,7 +206,7 @@
 #[test]
 fn a_calm_group_switches() {
     let mut group = Group::new(4);
-    let switched = play(1, 4, CALM, &mut group);
+    let switched = run_schedule(1, 4, NO_FAULTS, &mut group);
     assert!(switched >= 10, "{switched} switches in 600 ticks");
     assert!(group.is_clean() || group.ranks[0].report.pass > 500);
 }
@@ -216,41 +217,41 @@
     for seed in 0..4_000 {
         let ranks = 2 + (seed % 4) as usize;
         let mut group = Group::new(ranks);
-        total += play(seed, ranks, STORM, &mut group);
+        total += run_schedule(seed, ranks, HEAVY_FAULTS, &mut group);
         let before = group.history[group.history.len() - 100][0].pass;
         assert!(
             group.ranks[0].report.pass > before,
-            "seed {seed}: the group stands still after the storm"
+            "seed {seed}: the group is stalled after the faults have ended"
         );
     }
-    assert!(total > 4_000, "{total} switches in 4,000 schedules: too few to show anything");
+    assert!(total > 4_000, "{total} switches in 4,000 schedules: too few for a meaningful test");
 }
 
 #[test]
 fn the_schedules_find_a_group_that_does_not_check_fences() {
     let broken = (0..4_000).any(|seed| {
-        let played = std::panic::catch_unwind(|| {
+        let outcome = std::panic::catch_unwind(|| {
             let mut group = Group::new(3);
-            group.checks_fences = false;
-            play(seed, 3, STORM, &mut group)
+            group.checks_fencing_tokens = false;
+            run_schedule(seed, 3, HEAVY_FAULTS, &mut group)
         });
-        played.is_err()
+        outcome.is_err()
     });
-    assert!(broken, "the schedules are too tame to tell whether fences matter");
+    assert!(broken, "no schedule detects a group that ignores fencing tokens");
 }
 
 #[test]
 fn a_version_is_given_out_once_and_stays_below_those_of_the_next_leader() {
     let mut first = Versions::of_fencing_token(3);
     let mut taken: Vec<u64> = std::iter::from_fn(|| first.allocate_above(0)).collect();
-    assert_eq!(first.allocate_above(0), None, "none is left");
+    assert_eq!(first.allocate_above(0), None, "no version is left");
     taken.dedup();
     let next = Versions::of_fencing_token(4).allocate_above(0).expect("a new leader has versions");
     assert!(taken.is_sorted() && taken.iter().all(|version| *version < next));
     assert_eq!(
         Versions::of_fencing_token(3).allocate_above(next),
         None,
-        "the next leader's are not its own"
+        "a version of the next leader is not allocated"
     );
 }
 
@@ -265,17 +266,18 @@
         if held {
             leader.switch.withdraw();
         }
-        if leader.step(&mut group, CALM, &mut rng) {
+        if leader.step(&mut group, NO_FAULTS, &mut rng) {
             break;
         }
         group.tick();
     }
     assert!(held, "no pass was held");
-    assert!(group.is_clean(), "the hold was left");
+    assert!(group.is_clean(), "the hold was not released");
     assert_ne!(group.ranks[0].report.map, 0, "the map is in force");
 }
 
-/// Carries out a switch whose rank `silent`, if any, answers no report; stops where a pass is held.
+/// Runs a switch in which the rank `silent`, if any, does not answer report requests. Returns
+/// whether a pass is held, and stops at that point.
 fn reaches_a_hold(group: &mut Group, start: Start, silent: Option<usize>) -> bool {
     let config = Config { passes_ahead: 4, ..Config::for_fresh_reports() };
     let versions = Versions::of_fencing_token(group.now + 1);
@@ -283,16 +285,18 @@
     let content = group.plan();
     for _ in 0..60 {
         match switch.step() {
-            Next::Round(asks) => {
-                let replies: Vec<(usize, RankRequest, Reply)> = asks
+            Next::Round(requests) => {
+                let replies: Vec<(usize, RankRequest, Reply)> = requests
                     .into_iter()
-                    .map(|(index, ask)| match ask {
+                    .map(|(index, request)| match request {
                         RankRequest::Report if silent == Some(index) => {
-                            (index, ask, Reply::NoAnswer)
+                            (index, request, Reply::NoAnswer)
+                        }
+                        RankRequest::Report => {
+                            (index, request, Reply::Report(group.report(index, 0)))
                         }
-                        RankRequest::Report => (index, ask, Reply::Report(group.report(index, 0))),
                         RankRequest::Order(fenced) => {
-                            (index, ask, group.order(index, fenced, content))
+                            (index, request, group.order(index, fenced, content))
                         }
                     })
                     .collect();
@@ -317,8 +321,8 @@
     }
 }
 
-/// How far ahead of the newest pass a switch is set, where one rank's first answer to an order was lost
-/// and passes take so long.
+/// How many passes ahead of the newest one a switch is set, with passes of `pass` each, where the
+/// first answer to an order is lost.
 fn lead_after_a_lost_answer(pass: Millis) -> u64 {
     let config = Config { pass_length: pass, ..Config::for_fresh_reports() };
     let mut group = Group::new(3);
@@ -328,10 +332,10 @@
     let mut lost = false;
     for _ in 0..60 {
         match switch.step() {
-            Next::Round(asks) => {
+            Next::Round(requests) => {
                 let mut replies = Vec::new();
-                for (index, ask) in asks {
-                    let reply = match ask {
+                for (index, request) in requests {
+                    let reply = match request {
                         RankRequest::Report => Reply::Report(group.report(index, 0)),
                         RankRequest::Order(fenced) => {
                             if let Order::Hold { pass } = fenced.order {
@@ -341,7 +345,7 @@
                             if std::mem::replace(&mut lost, true) { reply } else { Reply::NoAnswer }
                         }
                     };
-                    replies.push((index, ask, reply));
+                    replies.push((index, request, reply));
                 }
                 switch.apply_replies(&replies);
             }
@@ -371,9 +375,11 @@
         Start::Unknown,
         Millis::ZERO,
     );
-    let Next::Round(asks) = switch.step() else { panic!("it surveys first") };
-    let replies: Vec<(usize, RankRequest, Reply)> =
-        asks.into_iter().map(|(index, ask)| (index, ask, Reply::Report(armed))).collect();
+    let Next::Round(requests) = switch.step() else { panic!("the first step is not a survey") };
+    let replies: Vec<(usize, RankRequest, Reply)> = requests
+        .into_iter()
+        .map(|(index, request)| (index, request, Reply::Report(armed)))
+        .collect();
     switch.apply_replies(&replies);
     assert_eq!(switch.step(), Next::Pause(Config::for_fresh_reports().poll_interval));
 }
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -1,4 +1,7 @@
-//! How long passes take, from the numbers of passes that ranks tell.
+//! Tests of the pass length estimate.
+//!
+//! They guard against a wrong length where a rank reports the same pass again, or where its group
+//! restarts and counts passes in a new epoch.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::passes::Passes;
@@ -14,8 +17,8 @@
     assert_eq!(passes.length(), Some(Millis(60)));
     passes.record(rank, 1, 102, Millis(1_240));
     assert_eq!(passes.length(), Some(Millis(60)), "no pass has begun since");
-    for reading in 1..60 {
-        passes.record(rank, 1, 102 + reading, Millis(1_120 + 120 * reading));
+    for report in 1..60 {
+        passes.record(rank, 1, 102 + report, Millis(1_120 + 120 * report));
     }
     assert_eq!(passes.length(), Some(Millis(119)));
 }
