--- a/crates/core/src/direct/advertised_limit.rs
+++ b/crates/core/src/direct/advertised_limit.rs
@@ -1,42 +1,51 @@
-//! How many requests a second a backend server takes from all gateways together, as it names it in its answers.
+//! Advertised limit of one backend server: how many requests per second it takes from all gateways.
+//! Input: the limits in the server's answers, and granted permits. State: the last advertisement
+//! and the permits held. Decides whether a request may be sent, and when permits are requested.
 //!
-//! What it said last binds, and answers overtake one another: what a server said lies somewhere between the sending
-//! of the request and the coming of the answer. A lower limit holds at once, unless what is known is surely newer; a
-//! higher one, or none any more, has to be surely newer itself.
+//! The last advertisement of the server holds, but answers can overtake each other: a server made
+//! an advertisement at some time between the sending of the request and the arrival of the answer.
+//! A lower limit applies at once, unless the known one is certainly newer. A higher limit, or the
+//! end of the limit, applies only if it is certainly newer than the known one.
 //!
-//! Nothing is sent to a limited server without a permit of the gateway that gives them out for all: see
-//! [`permits`](crate::direct::permits). What a gateway was given is in hand for a moment only, so nothing is saved up.
+//! No request is sent to a server with a limit without a permit, which one gateway grants for all:
+//! see [`permits`](crate::direct::permits). A permit is valid for a moment only, so permits do not
+//! accumulate.
 
 use crate::clock::Millis;
 
-/// Most that is told apart, in requests a second: more than any server takes.
-const MOST_PER_S: f64 = 1e9;
+/// Maximum limit that is represented, in requests per second: more than any server takes.
+const MAX_PER_S: f64 = 1e9;
 
-/// What servers that take less are sent all the same: who is sent nothing cannot say that it takes requests again.
-const LEAST: Rate = Rate { in_1000_s: 100 };
+/// Minimum rate at which a server is sent requests, even if its limit is lower: a server that gets
+/// no requests could not advertise that it takes them again.
+const MIN_RATE: Rate = Rate { in_1000_s: 100 };
 
-/// How long a permit is good, from when it was asked for: a request may have to wait for a connection.
+/// How long a permit is valid after it was requested: a request may have to wait for a connection.
 pub const PERMIT_VALIDITY: Millis = Millis(500);
 
-/// Longest wait for an answer to one who asks for permits.
+/// Maximum wait for the answer to a request for permits.
 pub const ASK_TIMEOUT: Millis = Millis(100);
 
-/// Shortest and longest time until permits are asked for again where there were none: what is given out may change.
-const ASK_AGAIN: (Millis, Millis) = (Millis(20), Millis(500));
+/// Minimum and maximum time until permits are requested again if none were granted: what is granted
+/// may change.
+const ASK_RETRY_BOUNDS: (Millis, Millis) = (Millis(20), Millis(500));
 
-/// Longest time to the next permit that callers are told: nobody knows more than that it is long.
-const MOST_TOLD: Millis = Millis(10_000);
+/// Maximum time to the next permit that is reported to callers. Of a longer one, only that it is
+/// long is known.
+const MAX_REPORTED_WAIT: Millis = Millis(10_000);
 
-/// Time for which a gateway asks permits ahead, by what it sent lately: one message for several requests.
-const AHEAD_S: f64 = 0.25;
+/// Time for which a gateway requests permits in advance, by the number of requests that it sent
+/// recently. One message then serves several requests.
+const PREFETCH_S: f64 = 0.25;
 
-/// Time over which requests count as sent lately.
-const LATELY_MS: f64 = 1_000.0;
+/// Decay time of the number of recently sent requests.
+const RECENT_DECAY_MS: f64 = 1_000.0;
 
-/// What news may have taken on their way from another gateway, beyond the ages they tell.
+/// Maximum time in transit of an advertisement from another gateway, beyond the ages that it
+/// carries.
 pub const TRANSIT_ALLOWANCE: Millis = Millis(500);
 
-/// Requests over time.
+/// A rate of requests.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Rate {
     /// Requests in 1,000 seconds.
@@ -44,31 +53,32 @@
 }
 
 impl Rate {
-    /// What a server named, in requests a second, a decimal; `None` if the text is no number.
+    /// Parses a rate that a server advertises: requests per second, as a decimal number. `None` if
+    /// the text is no such number.
     pub fn from_text(text: &str) -> Option<Rate> {
         let text = text.trim();
-        // Words that stand for numbers, and signs, are none.
+        // Signs, and words that parse as a number, are not accepted.
         if !text.starts_with(|first: char| first.is_ascii_digit() || first == '.') {
             return None;
         }
         let per_s = text.parse::<f64>().ok()?;
-        Some(Rate { in_1000_s: (per_s.min(MOST_PER_S) * 1_000.0) as u64 })
+        Some(Rate { in_1000_s: (per_s.min(MAX_PER_S) * 1_000.0) as u64 })
     }
 
-    /// Requests a millisecond that are sent to a server of this limit.
+    /// Requests per millisecond that are sent to a server with this limit.
     pub fn per_ms(self) -> f64 {
-        self.max(LEAST).in_1000_s as f64 / 1e6
+        self.max(MIN_RATE).in_1000_s as f64 / 1e6
     }
 }
 
-/// What a server said of its limit, and when.
+/// A limit that a server advertised, and when.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitAdvertisement {
-    /// `None`: it names none any more.
+    /// `None`: the server no longer has a limit.
     pub limit: Option<Rate>,
-    /// It said so at this moment at the earliest.
+    /// Earliest time at which the server can have advertised it.
     pub earliest: Millis,
-    /// It said so at this moment at the latest.
+    /// Latest time at which the server can have advertised it.
     pub latest: Millis,
 }
 
@@ -81,8 +91,8 @@
         }
     }
 
-    /// Whether this binds in place of what is known.
-    fn overrules(&self, known: &LimitAdvertisement) -> bool {
+    /// Whether this advertisement replaces the known one.
+    fn supersedes(&self, known: &LimitAdvertisement) -> bool {
         if self.is_looser_than(known) {
             self.earliest >= known.latest
         } else {
@@ -91,147 +101,151 @@
     }
 }
 
-/// What came of word about a limit.
+/// What an advertisement changed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum LimitMergeOutcome {
-    /// It was known.
+    /// Nothing.
     Unchanged,
-    /// The limit is another one, or gone.
+    /// The limit changed, or ended.
     Changed,
-    /// Much less is taken than was known: others should not have to find out.
+    /// The limit is much lower than was known: other gateways are to receive it before they exceed
+    /// it.
     Urgent,
 }
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Permission {
-    /// The server names no limit.
+    /// No permit is needed.
     Free,
-    /// There is a permit, good until this moment.
+    /// There is a permit, valid until this time.
     Until(Millis),
-    /// Permits have to be asked for, so many.
+    /// This number of permits is to be requested.
     Ask(u32),
-    /// There is none for now.
+    /// There is no permit at present.
     None,
 }
 
-/// One server's limit as this gateway knows it, and the permits that it has for it.
+/// Limit of one server as this gateway knows it, and the permits that the gateway holds for it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdvertisedLimit {
     advertisement: Option<LimitAdvertisement>,
-    in_hand: u32,
-    good_until: Millis,
-    /// Until when an answer to one who asked is waited for.
-    asked_until: Millis,
-    /// No permit is asked for before.
-    ask_from: Millis,
-    /// When there is one, as far as was told.
+    permits_held: u32,
+    valid_until: Millis,
+    /// Until when the answer to a request for permits is awaited.
+    awaiting_until: Millis,
+    /// No permit is requested before this time.
+    ask_not_before: Millis,
+    /// When there is a permit, by the last answer.
     expected_at: Millis,
-    /// Requests sent with permits lately, those longer ago counting less.
-    lately: f64,
-    lately_at: Millis,
+    /// Number of requests recently sent with permits; older ones count less.
+    recent: f64,
+    recent_at: Millis,
 }
 
 impl AdvertisedLimit {
-    /// Takes what the server said.
-    pub fn apply(&mut self, said: LimitAdvertisement) -> LimitMergeOutcome {
+    /// Applies an advertisement of the server.
+    pub fn apply(&mut self, advertisement: LimitAdvertisement) -> LimitMergeOutcome {
         let Some(known) = &mut self.advertisement else {
-            self.advertisement = Some(said);
-            return if said.limit.is_some() {
+            self.advertisement = Some(advertisement);
+            return if advertisement.limit.is_some() {
                 LimitMergeOutcome::Urgent
             } else {
                 LimitMergeOutcome::Unchanged
             };
         };
-        if known.limit == said.limit {
-            known.earliest = known.earliest.max(said.earliest);
-            known.latest = known.latest.max(said.latest);
+        if known.limit == advertisement.limit {
+            known.earliest = known.earliest.max(advertisement.earliest);
+            known.latest = known.latest.max(advertisement.latest);
             return LimitMergeOutcome::Unchanged;
         }
-        if !said.overrules(known) {
+        if !advertisement.supersedes(known) {
             return LimitMergeOutcome::Unchanged;
         }
-        let is_halved = match (said.limit, known.limit) {
+        let is_halved = match (advertisement.limit, known.limit) {
             (Some(limit), Some(known)) => limit.in_1000_s <= known.in_1000_s / 2,
             (limit, _) => limit.is_some(),
         };
-        if !said.is_looser_than(known) {
-            // What was given out by the limit before is too much now.
-            self.in_hand = 0;
+        if !advertisement.is_looser_than(known) {
+            // The permits that were granted under the previous limit are too many now.
+            self.permits_held = 0;
         }
-        *known = said;
+        *known = advertisement;
         if is_halved { LimitMergeOutcome::Urgent } else { LimitMergeOutcome::Changed }
     }
 
-    /// What the server said last.
+    /// The last advertisement of the server.
     pub fn advertisement(&self) -> Option<LimitAdvertisement> {
         self.advertisement
     }
 
-    /// The limit, if it names one.
+    /// The limit, if the server has one.
     pub fn limit(&self) -> Option<Rate> {
         self.advertisement?.limit
     }
 
-    /// When there is a permit, if none can be asked for now; `None` where the server names no limit.
+    /// When a permit is expected, if there is none and none can be requested now. `None` otherwise,
+    /// and if the server has no limit.
     pub fn blocked_until(&self, now: Millis) -> Option<Millis> {
-        let is_bound = self.limit().is_some() && !self.has_permit(now) && self.ask_from > now;
-        is_bound.then(|| self.expected_at.max(self.ask_from))
+        let is_blocked =
+            self.limit().is_some() && !self.has_permit(now) && self.ask_not_before > now;
+        is_blocked.then(|| self.expected_at.max(self.ask_not_before))
     }
 
-    /// Whether there is no permit, and none can be asked for now.
+    /// Whether there is no permit, and none can be requested now.
     pub fn is_closed(&self, now: Millis) -> bool {
-        !self.has_permit(now) && self.ask_from.max(self.asked_until) > now
+        !self.has_permit(now) && self.ask_not_before.max(self.awaiting_until) > now
     }
 
-    /// When one who finds it closed may find it open at the earliest: an answer that is waited for may come at any
-    /// moment.
+    /// Earliest time at which a limit that is closed may be open. An answer that is awaited may
+    /// arrive at any moment.
     pub fn may_open_at(&self) -> Millis {
-        self.ask_from
+        self.ask_not_before
     }
 
-    /// Takes a permit for one request, or says what is to be done for one. `returning` is what is sent at most while
-    /// the server comes back from a rest; that does not bind where no other server is left.
-    pub fn take(&mut self, returning: Option<Rate>, now: Millis) -> Permission {
+    /// Takes a permit for one request, or returns what is to be done to get one. `ramp_up_rate` is
+    /// the maximum rate during the ramp-up after a back-off. It does not hold if no other server is
+    /// left.
+    pub fn take(&mut self, ramp_up_rate: Option<Rate>, now: Millis) -> Permission {
         let is_limited = self.limit().is_some();
-        if !is_limited && returning.is_none() {
+        if !is_limited && ramp_up_rate.is_none() {
             return Permission::Free;
         }
         if self.has_permit(now) {
-            self.in_hand -= 1;
+            self.permits_held -= 1;
             self.count(now);
-            return Permission::Until(self.good_until);
+            return Permission::Until(self.valid_until);
         }
         if self.is_closed(now) {
             return if is_limited { Permission::None } else { Permission::Free };
         }
-        self.asked_until = now + ASK_TIMEOUT;
-        Permission::Ask(1 + (self.lately_by(now) * AHEAD_S) as u32)
+        self.awaiting_until = now + ASK_TIMEOUT;
+        Permission::Ask(1 + (self.recent_by(now) * PREFETCH_S) as u32)
     }
 
     fn has_permit(&self, now: Millis) -> bool {
-        self.in_hand > 0 && self.good_until > now
+        self.permits_held > 0 && self.valid_until > now
     }
 
-    /// Takes the answer to what was asked at `asked_at`.
+    /// Applies the answer to a request for permits that was made at `asked_at`.
     pub fn apply_grant(&mut self, permits: u32, retry_in: Millis, asked_at: Millis, now: Millis) {
-        self.asked_until = Millis::ZERO;
+        self.awaiting_until = Millis::ZERO;
         if permits == 0 {
-            let (least, most) = ASK_AGAIN;
-            self.ask_from = now + retry_in.clamp(least, most);
-            self.expected_at = now + retry_in.min(MOST_TOLD);
+            let (shortest, longest) = ASK_RETRY_BOUNDS;
+            self.ask_not_before = now + retry_in.clamp(shortest, longest);
+            self.expected_at = now + retry_in.min(MAX_REPORTED_WAIT);
             return;
         }
-        self.in_hand = permits;
-        self.good_until = asked_at + PERMIT_VALIDITY;
+        self.permits_held = permits;
+        self.valid_until = asked_at + PERMIT_VALIDITY;
     }
 
-    fn lately_by(&self, now: Millis) -> f64 {
-        self.lately * (-(now.since(self.lately_at).0 as f64) / LATELY_MS).exp()
+    fn recent_by(&self, now: Millis) -> f64 {
+        self.recent * (-(now.since(self.recent_at).0 as f64) / RECENT_DECAY_MS).exp()
     }
 
     fn count(&mut self, now: Millis) {
-        self.lately = self.lately_by(now) + 1.0;
-        self.lately_at = now;
+        self.recent = self.recent_by(now) + 1.0;
+        self.recent_at = now;
     }
 }
--- a/crates/core/src/direct/crashes.rs
+++ b/crates/core/src/direct/crashes.rs
@@ -1,19 +1,23 @@
-//! Which requests crash the servers that run them.
+//! Crash reports of a gateway: which requests crash the backend servers that run them.
+//! Input: crash reports and completed requests, observed here or received from other gateways.
+//! State: both of these. Decides which requests are refused, held back or sent one at a time.
 //!
-//! One request can crash each server that begins to run it, and come again at any gateway under a new id.
-//! All gateways report which requests were at a server as it crashed. A request that was there at several
-//! crashes is refused by all of them for a while; what else ran beside it is explained by it. One that ends
-//! well anywhere is cleared.
+//! One request can crash each server that begins to run it, and can be retried at any gateway under
+//! a new id. Each gateway reports which requests were at a server at the time of its crash. All
+//! gateways refuse a request that was at several crashes, for a limited time. It explains these
+//! crashes, so they do not count against the other requests there. A request that completes at any
+//! gateway is cleared.
 //!
-//! One that a server was just beginning to run as it crashed is held back at once, until the server and its group can
-//! be back: were it the cause, it would crash another one within a moment, and a group more would stand still. Then
-//! it is tried by one gateway after the other, one at a time. A second such crash tells as much as three of others.
+//! A request that a server was just beginning to run at the time of its crash is held back at once,
+//! until the server and its group can be back. If it was the cause, it would otherwise crash
+//! another server within a moment and stall another group. Afterwards one gateway after the other
+//! sends it again, one attempt at a time. Two such crashes are as strong evidence as three others.
 //!
-//! Reports only grow until they are too old, so gateways that merge each other's in any order come to the
-//! same result, and whoever learns late needs no more than the reports.
+//! Reports only grow until they expire. So gateways that merge each other's reports in any order
+//! reach the same result, and a gateway that receives them late needs nothing but the reports.
 //!
-//! It protects the servers of a service from a caller that repeats such a request: without it most of them crash under
-//! one, and their groups stand still.
+//! This protects the servers of a service from a caller that retries such a request: without it,
+//! most of them crash and their groups stall.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -25,30 +29,30 @@
 use crate::direct::fingerprint::Fingerprint;
 use crate::util::hash;
 
-/// Bounds of what is remembered.
+/// Thresholds, times and limits of the stored state.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Crashes from which a request is refused. Two may be chance: a stream that is taken up after a crash may meet
-    /// the next one. The users' rule counts from the third.
+    /// Number of crashes from which a request is refused. Two can be a coincidence: a stream that
+    /// is resumed after a crash can be at the next one. The users' rule counts from the third.
     pub min_crashes: usize,
-    /// The same of crashes at which it was just beginning: servers begin to run a request for a tenth of its time.
-    pub min_crashes_at_start: usize,
-    /// How long a request is held back after a crash at which it was just beginning. A server of the users is back
-    /// within 3.3 s, and its group opens 0.6 s later.
+    /// The same for crashes in [`Stage::Starting`], which lasts for a tenth of the run time.
+    pub min_starts: usize,
+    /// How long a request is held back after a crash at which it was in [`Stage::Starting`]. A
+    /// server of the users' deployment is back within 3.3 s, and its group opens 0.6 s later.
     pub hold_back: Millis,
-    /// Up to so much longer, by gateway: what came meanwhile would go everywhere at once, and crash one server for each
-    /// gateway. Reports of a crash take some tens of milliseconds.
+    /// Upper bound of an extra hold-back that differs between gateways. Otherwise they would all
+    /// send what arrived meanwhile at once, and crash one server each. A crash report reaches other
+    /// gateways within some tens of milliseconds.
     pub hold_back_spread: Millis,
-    /// How long a report counts. As long as a person takes to look at what was refused; a request that still
-    /// crashes servers then does so three times more in each such span.
+    /// How long a report counts: as long as a person needs to examine what was refused. A request
+    /// that still crashes servers afterwards causes three more crashes in each such period.
     pub report_ttl: Millis,
-    /// Most reports of crashes that are remembered, and most requests that are remembered as cleared; the oldest go
-    /// first.
+    /// Maximum number of crash reports, and of cleared requests; the oldest are evicted first.
     pub max_crashes: usize,
-    /// Most requests that are remembered of one crash; a server of the users takes 12 at once.
+    /// Maximum number of requests in one report. A server of the users' deployment runs 12 at once.
     pub max_suspects: usize,
-    /// Requests that ended well last at this gateway and are remembered: those of the seconds in which it may hear of a
-    /// crash late. A gateway of the users has 13 a second.
+    /// Number of the latest completed requests of this gateway that are stored, for the seconds by
+    /// which a crash report may be late. A gateway of the users' deployment has 13 a second.
     pub max_completed: usize,
 }
 
@@ -56,7 +60,7 @@
     fn default() -> Self {
         Config {
             min_crashes: 3,
-            min_crashes_at_start: 2,
+            min_starts: 2,
             hold_back: Millis(5_000),
             hold_back_spread: Millis(5_000),
             report_ttl: Millis(600_000),
@@ -67,44 +71,44 @@
     }
 }
 
-/// Stands for one life of a backend server, the same at all gateways.
+/// Identifies one incarnation of a backend server, with the same value at all gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ServerIncarnation(pub u64);
 
 impl ServerIncarnation {
-    /// Of a server by its name and, where it tells it, when it started.
-    pub fn of(id: &str, started_unix_ms: Option<u64>) -> ServerIncarnation {
-        ServerIncarnation(hash::score(started_unix_ms.unwrap_or_default(), id))
+    /// Derived from the server's id and, if the server reports it, its start time.
+    pub fn of(server_id: &str, started_unix_ms: Option<u64>) -> ServerIncarnation {
+        ServerIncarnation(hash::score(started_unix_ms.unwrap_or_default(), server_id))
     }
 }
 
-/// Stands for who saw a crash, the same at all gateways.
+/// Identifies the gateway process that observed a crash, with the same value at all gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Reporter(pub u64);
 
-/// A crash as one gateway saw it: what names a report.
+/// Identifies a report: the server that crashed, and the gateway process that observed it.
 pub type CrashReportId = (ServerIncarnation, Reporter);
 
-/// How far a request was at a server as it crashed. Of several that are the same one, the furthest counts: it did no harm
-/// until then.
+/// Progress of a request at a server at the time of its crash. If the same request was there
+/// several times, the furthest stage counts: the request did no harm up to that stage.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Stage {
-    /// No answer had begun: the server may have crashed before.
+    /// The answer had not begun: the server may have crashed before the request was sent.
     Waiting,
-    /// Its answer had begun, and nothing more had come.
+    /// The answer had begun, and nothing more of it had arrived.
     Starting,
-    /// More of its answer had come.
+    /// More of the answer had arrived.
     Running,
 }
 
-/// A request that was at a server as it crashed.
+/// A request that was at a server at the time of its crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Suspect {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// How long it had been there then.
+    /// How long the server had had it at that time.
     pub ran: Millis,
-    /// How far it was.
+    /// Its progress at that time.
     pub stage: Stage,
 }
 
@@ -115,56 +119,56 @@
     }
 }
 
-/// A crash as one gateway saw it.
+/// A crash as one gateway observed it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
     /// The server.
     pub server: ServerIncarnation,
-    /// Who saw it.
+    /// The gateway process that observed the crash.
     pub reporter: Reporter,
-    /// Time since its first answer broke off there, as far as the one who tells has heard.
+    /// Time since the reporter's first truncated answer from the server, as known to the sender.
     pub age: Millis,
-    /// What was there.
+    /// The requests at the server.
     pub suspects: Vec<Suspect>,
 }
 
-/// A request that ended well, as gateways tell each other.
+/// A request that completed, as exchanged between gateways.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Cleared {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Time since, as far as the one who tells has heard.
+    /// Time since its completion, as known to the sender.
     pub age: Millis,
 }
 
-/// What a report changed.
+/// What a merged report or completion changed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum MergeOutcome {
     /// Nothing.
     Unchanged,
-    /// Something was not known; it can wait for the next exchange.
+    /// Something was new, and can wait for the next gossip round.
     Changed,
-    /// A request is held back, or suspected of more than one crash, or of so many no more: all need to know.
+    /// A request held back or at several crashes was added or cleared: to be sent at once.
     Urgent,
 }
 
-/// A time that is told by its age. Not the moment: that may be before this process began, where its clock
-/// has no times.
+/// A time, stored as its age at a merge. The time itself may be before the start of this process,
+/// which its clock cannot represent.
 #[derive(Clone, Copy, Debug)]
 struct Aged {
-    age_then: Millis,
-    taken_at: Millis,
+    age_at_merge: Millis,
+    merged_at: Millis,
 }
 
 impl Aged {
     fn age(self, now: Millis) -> Millis {
-        self.age_then + now.since(self.taken_at)
+        self.age_at_merge + now.since(self.merged_at)
     }
 
-    /// Takes the younger: what waited on its way is told too old.
+    /// Keeps the lower age: the age of a message that was delayed in transit is too high.
     fn record(&mut self, age: Millis, now: Millis) {
         if age < self.age(now) {
-            *self = Aged { age_then: age, taken_at: now };
+            *self = Aged { age_at_merge: age, merged_at: now };
         }
     }
 }
@@ -175,7 +179,7 @@
     suspects: BTreeMap<Fingerprint, Suspect>,
 }
 
-/// A crash by all reports of it.
+/// A crash, merged from all reports of it.
 #[derive(Clone, Debug)]
 struct Merged {
     age: Millis,
@@ -183,17 +187,17 @@
 }
 
 impl Merged {
-    /// Whether a request was just beginning there.
+    /// Whether a request was in [`Stage::Starting`] at the crash.
     fn was_at_start(&self, fingerprint: Fingerprint) -> bool {
         self.suspects.get(&fingerprint).is_some_and(|one| one.stage == Stage::Starting)
     }
 }
 
-/// How much later than the first answer broke off at any gateway a request may have been sent that was there: ages that
-/// gateways tell each other are too high by as long as news took.
-const TOLD_LATE: Millis = Millis(250);
+/// How long after the first truncated answer at any gateway a request may seem to have been sent
+/// and still count as present at the crash. Ages in reports are too high by their time in transit.
+const AGE_TOLERANCE: Millis = Millis(250);
 
-/// At how many crashes a request was, and the longest time that it had been at one of the servers.
+/// Number of crashes at which a request was, and its longest run time at one of the servers.
 #[derive(Clone, Copy, Default)]
 struct Count {
     all: usize,
@@ -201,7 +205,7 @@
     longest: Millis,
 }
 
-/// The same of each request.
+/// The [`Count`] of each request.
 #[derive(Default)]
 struct Counts(HashMap<Fingerprint, Count>);
 
@@ -215,18 +219,18 @@
         }
     }
 
-    /// Of those that were at a crash and at enough in all, the ones that never stayed for long.
-    fn told_by(&self, report: &Merged, config: &Config) -> Vec<Fingerprint> {
+    /// Of the requests at a crash that were at enough crashes, those with the shortest run time.
+    fn culprits_of(&self, report: &Merged, config: &Config) -> Vec<Fingerprint> {
         let counted = report.suspects.keys().map(|one| (self.0[one], *one));
-        let enough = |count: &Count| {
-            count.all >= config.min_crashes || count.at_start >= config.min_crashes_at_start
-        };
-        let told: Vec<(Millis, Fingerprint)> = counted
+        let enough =
+            |count: &Count| count.all >= config.min_crashes || count.at_start >= config.min_starts;
+        let culprits: Vec<(Millis, Fingerprint)> = counted
             .filter(|(count, _)| enough(count))
             .map(|(count, one)| (count.longest, one))
             .collect();
-        let shortest = told.iter().map(|(longest, _)| *longest).min();
-        told.into_iter()
+        let shortest = culprits.iter().map(|(longest, _)| *longest).min();
+        culprits
+            .into_iter()
             .filter(|(longest, _)| Some(*longest) == shortest)
             .map(|(_, one)| one)
             .collect()
@@ -236,39 +240,39 @@
 /// Whether a request that is not refused may be sent now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Quarantine {
-    /// Nothing is known against it.
-    Unrestricted,
-    /// It was just beginning at a server as that crashed, some time ago: one at a time.
+    /// No crash speaks against the request.
+    Free,
+    /// The request was in [`Stage::Starting`] at a crash some time ago: one attempt at a time.
     OneAtATime,
-    /// Not for so much longer.
+    /// The request is not sent for this much longer.
     HeldBack(Millis),
 }
 
-/// Everything that one gateway knows of crashes.
+/// All crash reports, completed requests and refusals that one gateway knows.
 #[derive(Clone, Debug)]
 pub struct Crashes {
     config: Config,
-    /// Tells this gateway from the others.
+    /// Identifies this gateway process.
     own: Reporter,
     reports: BTreeMap<CrashReportId, Report>,
     cleared: BTreeMap<Fingerprint, Aged>,
-    /// Requests that ended well here last, and when.
-    well: VecDeque<(Fingerprint, Millis)>,
-    /// Requests that are refused, and until when.
+    /// The requests that completed here most recently, with the time of each.
+    recent: VecDeque<(Fingerprint, Millis)>,
+    /// Refused requests, with the end of each refusal.
     refused: HashMap<Fingerprint, Millis>,
-    /// Requests that were just beginning at a crash; most requests are looked up in vain here.
+    /// Requests that were in [`Stage::Starting`] at a crash; most requests are not among them.
     began_at_crash: BTreeSet<Fingerprint>,
 }
 
 impl Crashes {
-    /// Nothing is known.
+    /// No crash is known.
     pub fn new(config: Config, own: Reporter) -> Crashes {
         Crashes {
             config,
             own,
             reports: BTreeMap::new(),
             cleared: BTreeMap::new(),
-            well: VecDeque::new(),
+            recent: VecDeque::new(),
             refused: HashMap::new(),
             began_at_crash: BTreeSet::new(),
         }
@@ -280,11 +284,11 @@
         (until > now).then(|| until.since(now))
     }
 
-    /// Whether a request may be sent: it is held back if it was just beginning at a server as that crashed, and nothing
-    /// that is refused was there.
+    /// Whether a request may be sent. It is held back if it was in [`Stage::Starting`] at a crash
+    /// at which no refused request was.
     pub fn quarantine(&self, fingerprint: Fingerprint, now: Millis) -> Quarantine {
         if !self.began_at_crash.contains(&fingerprint) {
-            return Quarantine::Unrestricted;
+            return Quarantine::Free;
         }
         let merged = self.merged(now);
         let unexplained = merged.iter().filter(|(_, crash)| {
@@ -292,20 +296,19 @@
                 crash.suspects.keys().any(|one| self.refused_for(*one, now).is_some());
             crash.was_at_start(fingerprint) && !is_explained
         });
-        let left =
-            unexplained.map(|(server, crash)| self.hold_back_time(*server).since(crash.age)).max();
+        let left = unexplained.map(|(server, crash)| self.held_for(*server).since(crash.age)).max();
         match left {
-            None => Quarantine::Unrestricted,
+            None => Quarantine::Free,
             Some(Millis::ZERO) => Quarantine::OneAtATime,
             Some(left) => Quarantine::HeldBack(left),
         }
     }
 
-    /// How long this gateway holds back what was beginning at a server as that crashed.
-    fn hold_back_time(&self, server: ServerIncarnation) -> Millis {
+    /// How long this gateway holds back requests that were starting at a server as it crashed.
+    fn held_for(&self, server: ServerIncarnation) -> Millis {
         let Config { hold_back, hold_back_spread, .. } = self.config;
-        let drawn = hash::score(self.own.0, &server.0.to_string());
-        hold_back + Millis(drawn % hold_back_spread.0.max(1))
+        let offset = hash::score(self.own.0, &server.0.to_string());
+        hold_back + Millis(offset % hold_back_spread.0.max(1))
     }
 
     /// Requests that are refused.
@@ -314,24 +317,24 @@
         refused.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
-    /// Whether a request was at a server that crashed.
+    /// Whether a request was at a server at the time of its crash.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.reports.values().any(|report| report.suspects.contains_key(&fingerprint))
     }
 
-    /// Whether one more crash would make a request refused, if nothing explains it.
+    /// Whether one more crash that no other request explains would make a request refused.
     pub fn is_one_crash_from_refusal(&self, fingerprint: Fingerprint, now: Millis) -> bool {
         let merged = self.merged(now);
         let with_it = merged.values().filter(|crash| crash.suspects.contains_key(&fingerprint));
         with_it.count() + 1 >= self.config.min_crashes
     }
 
-    /// The crashes at which a request was, without what ran beside it and without who saw them.
+    /// The crashes at which a request was, without the other requests there and without reporters.
     pub fn crashes_of(&self, fingerprint: Fingerprint, now: Millis) -> Vec<Crash> {
         let merged = self.merged(now);
         let found = merged.iter().filter_map(|(server, crash)| {
             let suspect = *crash.suspects.get(&fingerprint)?;
-            // What waited is told as if its answer had begun: when it was sent is not kept.
+            // `Waiting` is replaced by `Running`: when the request was sent is not stored.
             let stage =
                 if suspect.stage == Stage::Waiting { Stage::Running } else { suspect.stage };
             let suspects = vec![Suspect { stage, ..suspect }];
@@ -340,9 +343,9 @@
         found.collect()
     }
 
-    /// The crashes by all reports of each. A server that crashed may take requests for a while before anybody knows; what
-    /// was sent after the first answer had broken off there, at whatever gateway, and was not answered, did not
-    /// crash it.
+    /// Merges the reports of each crash. Requests may still be sent to a crashed server before the
+    /// crash is detected. One that was sent after the first truncated answer at any gateway, and
+    /// that got no answer, did not cause the crash.
     fn merged(&self, now: Millis) -> BTreeMap<ServerIncarnation, Merged> {
         let counts = |report: &&Report| report.at.age(now) < self.config.report_ttl;
         let mut merged: BTreeMap<ServerIncarnation, Merged> = BTreeMap::new();
@@ -356,7 +359,7 @@
             let Some(crash) = merged.get_mut(server) else { continue };
             let age = report.at.age(now);
             let was_there = |one: &&Suspect| {
-                one.stage > Stage::Waiting || age + one.ran + TOLD_LATE >= crash.age
+                one.stage > Stage::Waiting || age + one.ran + AGE_TOLERANCE >= crash.age
             };
             for suspect in report.suspects.values().filter(was_there) {
                 let known = crash.suspects.entry(suspect.fingerprint).or_insert(*suspect);
@@ -366,7 +369,7 @@
         merged
     }
 
-    /// Requests that were at more than one crash: what another process would have to find out again.
+    /// Requests that were at more than one crash, which a new process would have to detect again.
     pub fn repeat_suspects(&self, now: Millis) -> BTreeSet<Fingerprint> {
         let merged = self.merged(now);
         let mut once = BTreeSet::new();
@@ -379,33 +382,32 @@
         more
     }
 
-    /// A request has ended well at this gateway. Remembered also where it is not suspected yet: the crash may be
-    /// heard of late.
+    /// Records a request that completed at this gateway, suspect or not: reports may be late.
     pub fn record_completed(&mut self, fingerprint: Fingerprint, now: Millis) -> MergeOutcome {
-        if self.well.len() == self.config.max_completed {
-            self.well.pop_front();
+        if self.recent.len() == self.config.max_completed {
+            self.recent.pop_front();
         }
-        self.well.push_back((fingerprint, now));
+        self.recent.push_back((fingerprint, now));
         if !self.is_suspect(fingerprint) {
             return MergeOutcome::Unchanged;
         }
         self.clear(Cleared { fingerprint, age: Millis::ZERO }, now)
     }
 
-    /// Takes a crash that was seen here, or that another gateway tells of.
+    /// Records a crash that was observed here or reported by another gateway.
     pub fn record(&mut self, crash: &Crash, now: Millis) -> MergeOutcome {
-        let news = self.record_report(crash, now);
+        let outcome = self.record_report(crash, now);
         let since = |one: &Suspect| {
-            let well = self.well.iter().rev().find(|(well, _)| *well == one.fingerprint);
-            well.map(|(_, at)| now.since(*at)).filter(|age| *age < crash.age)
+            let recent = self.recent.iter().rev().find(|(recent, _)| *recent == one.fingerprint);
+            recent.map(|(_, at)| now.since(*at)).filter(|age| *age < crash.age)
         };
-        let well = crash.suspects.iter().filter_map(|one| Some((one.fingerprint, since(one)?)));
-        let well: Vec<(Fingerprint, Millis)> = well.collect();
-        let cleared = well
+        let recent = crash.suspects.iter().filter_map(|one| Some((one.fingerprint, since(one)?)));
+        let recent: Vec<(Fingerprint, Millis)> = recent.collect();
+        let cleared = recent
             .into_iter()
             .map(|(fingerprint, age)| self.clear(Cleared { fingerprint, age }, now))
             .max();
-        cleared.map_or(news, |cleared| cleared.max(news))
+        cleared.map_or(outcome, |cleared| cleared.max(outcome))
     }
 
     fn record_report(&mut self, crash: &Crash, now: Millis) -> MergeOutcome {
@@ -413,11 +415,11 @@
             return MergeOutcome::Unchanged;
         }
         let still_suspect = |suspect: &&Suspect| {
-            // One that ended well since did not do it.
+            // A request that completed after the crash did not cause it.
             self.cleared.get(&suspect.fingerprint).is_none_or(|at| crash.age < at.age(now))
         };
         let suspects: Vec<Suspect> = crash.suspects.iter().filter(still_suspect).copied().collect();
-        let at = Aged { age_then: crash.age, taken_at: now };
+        let at = Aged { age_at_merge: crash.age, merged_at: now };
         let report = self
             .reports
             .entry((crash.server, crash.reporter))
@@ -443,38 +445,37 @@
         self.expire(now);
         self.update_refused(now);
         let repeated = self.repeat_suspects(now);
-        let is_held_back =
-            |one: &Fingerprint| self.quarantine(*one, now) != Quarantine::Unrestricted;
+        let is_held_back = |one: &Fingerprint| self.quarantine(*one, now) != Quarantine::Free;
         let urgent = added.iter().any(|one| repeated.contains(one) || is_held_back(one));
         if urgent { MergeOutcome::Urgent } else { MergeOutcome::Changed }
     }
 
-    /// Takes that a request ended well, here or at another gateway: no crash before that was due to it.
+    /// Records that a request completed, here or elsewhere: it caused no crash before that.
     pub fn clear(&mut self, cleared: Cleared, now: Millis) -> MergeOutcome {
         let Cleared { fingerprint, age } = cleared;
         if age >= self.config.report_ttl {
             return MergeOutcome::Unchanged;
         }
         let was_repeated = self.repeat_suspects(now).contains(&fingerprint)
-            || self.quarantine(fingerprint, now) != Quarantine::Unrestricted;
-        let mut is_news = false;
+            || self.quarantine(fingerprint, now) != Quarantine::Free;
+        let mut is_removed = false;
         for report in self.reports.values_mut() {
             if report.at.age(now) >= age && report.suspects.remove(&fingerprint).is_some() {
-                is_news = true;
+                is_removed = true;
             }
         }
         self.reports.retain(|_, report| !report.suspects.is_empty());
-        let at = Aged { age_then: age, taken_at: now };
+        let at = Aged { age_at_merge: age, merged_at: now };
         self.cleared.entry(fingerprint).or_insert(at).record(age, now);
         self.expire(now);
-        if !is_news {
+        if !is_removed {
             return MergeOutcome::Unchanged;
         }
         self.update_refused(now);
         if was_repeated { MergeOutcome::Urgent } else { MergeOutcome::Changed }
     }
 
-    /// Forgets what is too old, and the oldest of what is too much.
+    /// Removes what has expired, and the oldest entries above the limits.
     pub fn expire(&mut self, now: Millis) {
         let Config { report_ttl, max_crashes, .. } = self.config;
         self.reports.retain(|_, report| report.at.age(now) < report_ttl);
@@ -482,8 +483,8 @@
         self.refused.retain(|_, until| *until > now);
         while self.reports.len() > max_crashes {
             let oldest = self.reports.iter().max_by_key(|(_, report)| report.at.age(now));
-            let Some(sighting) = oldest.map(|(sighting, _)| *sighting) else { break };
-            self.reports.remove(&sighting);
+            let Some(id) = oldest.map(|(id, _)| *id) else { break };
+            self.reports.remove(&id);
         }
         while self.cleared.len() > max_crashes {
             let oldest = self.cleared.iter().max_by_key(|(_, at)| at.age(now));
@@ -492,40 +493,41 @@
         }
     }
 
-    /// Finds out which requests are refused, crash by crash from the oldest on: one that was at enough of them
-    /// explains all at which it was, and they do not count for what ran beside it. Of several that were at the
-    /// same ones, it is the one that never stayed for long: a request beside it was mostly there before.
+    /// Determines which requests are refused, crash by crash from the oldest on. A request that was
+    /// at enough crashes explains all crashes at which it was, and they do not count against the
+    /// other requests there. Of several requests at the same crashes, the one with the shortest run
+    /// time is the cause: the others had usually been there before it.
     fn update_refused(&mut self, now: Millis) {
         let merged = self.merged(now);
-        let mut in_turn: Vec<(&ServerIncarnation, &Merged)> = merged.iter().collect();
-        in_turn.sort_by_key(|(server, crash)| (Reverse(crash.age), **server));
+        let mut by_age: Vec<(&ServerIncarnation, &Merged)> = merged.iter().collect();
+        by_age.sort_by_key(|(server, crash)| (Reverse(crash.age), **server));
         let mut found: Vec<Fingerprint> = Vec::new();
         let mut unexplained: Vec<&Merged> = Vec::new();
         let mut counts = Counts::default();
-        for (_, report) in in_turn {
+        for (_, report) in by_age {
             if found.iter().any(|fingerprint| report.suspects.contains_key(fingerprint)) {
                 continue;
             }
             unexplained.push(report);
             counts.add(report);
-            let told = counts.told_by(report, &self.config);
-            if told.is_empty() {
+            let culprits = counts.culprits_of(report, &self.config);
+            if culprits.is_empty() {
                 continue;
             }
-            unexplained.retain(|one| !told.iter().any(|it| one.suspects.contains_key(it)));
+            unexplained.retain(|one| !culprits.iter().any(|it| one.suspects.contains_key(it)));
             counts = Counts::default();
             unexplained.iter().for_each(|one| counts.add(one));
-            found.extend(told);
+            found.extend(culprits);
         }
-        let until = |one: &Fingerprint| (*one, now + self.lasts_for(*one, &merged));
+        let until = |one: &Fingerprint| (*one, now + self.time_left(*one, &merged));
         self.refused = found.iter().map(until).collect();
         let suspects = merged.values().flat_map(|crash| crash.suspects.values());
         let began = suspects.filter(|one| one.stage == Stage::Starting);
         self.began_at_crash = began.map(|one| one.fingerprint).collect();
     }
 
-    /// How long a request was at enough crashes that still count.
-    fn lasts_for(&self, one: Fingerprint, merged: &BTreeMap<ServerIncarnation, Merged>) -> Millis {
+    /// For how much longer enough crashes at which a request was still count.
+    fn time_left(&self, one: Fingerprint, merged: &BTreeMap<ServerIncarnation, Merged>) -> Millis {
         let with_it = merged.values().filter(|crash| crash.suspects.contains_key(&one));
         let at_start = merged.values().filter(|crash| crash.was_at_start(one));
         let left = |ages: &mut Vec<Millis>, enough: usize| {
@@ -533,33 +535,32 @@
             ages.get(enough - 1).map_or(Millis::ZERO, |age| self.config.report_ttl - *age)
         };
         let of_all = left(&mut with_it.map(|crash| crash.age).collect(), self.config.min_crashes);
-        let of_start =
-            left(&mut at_start.map(|crash| crash.age).collect(), self.config.min_crashes_at_start);
+        let of_start = left(&mut at_start.map(|crash| crash.age).collect(), self.config.min_starts);
         of_all.max(of_start)
     }
 
-    /// Stands for all that is known; two gateways with the same have nothing to tell each other.
+    /// Digest of all known reports. Two gateways with the same digest have none to exchange.
     pub fn digest(&self, now: Millis) -> u64 {
         self.report_digests(now).iter().fold(0, |all, (_, digest)| all ^ digest)
     }
 
-    /// The reports that are known, each with a number that stands for what was there.
+    /// The known reports, each with a digest of its suspects.
     pub fn report_digests(&self, now: Millis) -> Vec<(CrashReportId, u64)> {
-        let counting =
+        let current =
             self.reports.iter().filter(|(_, report)| report.at.age(now) < self.config.report_ttl);
-        let digest = |(sighting, report): (&CrashReportId, &Report)| {
-            let (server, reporter) = sighting;
+        let digest = |(id, report): (&CrashReportId, &Report)| {
+            let (server, reporter) = id;
             let number = |one: &Suspect| {
                 let Suspect { fingerprint, ran, stage } = one;
                 let text = format!("{} {} {} {stage:?}", reporter.0, fingerprint.0, ran.0);
                 hash::score(server.0, &text)
             };
-            (*sighting, report.suspects.values().fold(0, |all, one| all ^ number(one)))
+            (*id, report.suspects.values().fold(0, |all, one| all ^ number(one)))
         };
-        counting.map(digest).collect()
+        current.map(digest).collect()
     }
 
-    /// What one that knows these reports lacks, and the reports of which it may know more.
+    /// The reports that a gateway with these lacks, and the ids of those of which it may know more.
     pub fn compare(
         &self,
         known: &[(CrashReportId, u64)],
@@ -567,19 +568,19 @@
     ) -> (Vec<Crash>, Vec<CrashReportId>) {
         let theirs: BTreeMap<CrashReportId, u64> = known.iter().copied().collect();
         let own: BTreeMap<CrashReportId, u64> = self.report_digests(now).into_iter().collect();
-        let lacking = own.iter().filter(|(sighting, digest)| theirs.get(sighting) != Some(digest));
-        let lacking: Vec<CrashReportId> = lacking.map(|(sighting, _)| *sighting).collect();
-        let wanted = theirs.iter().filter(|(sighting, digest)| own.get(sighting) != Some(digest));
-        (self.reports_by_id(&lacking, now), wanted.map(|(sighting, _)| *sighting).collect())
+        let lacking = own.iter().filter(|(id, digest)| theirs.get(id) != Some(digest));
+        let lacking: Vec<CrashReportId> = lacking.map(|(id, _)| *id).collect();
+        let wanted = theirs.iter().filter(|(id, digest)| own.get(id) != Some(digest));
+        (self.reports_by_id(&lacking, now), wanted.map(|(id, _)| *id).collect())
     }
 
-    /// These reports.
-    pub fn reports_by_id(&self, sightings: &[CrashReportId], now: Millis) -> Vec<Crash> {
-        let found = sightings.iter().filter_map(|sighting| {
-            let report = self.reports.get(sighting)?;
+    /// The reports with these ids, as far as they are known.
+    pub fn reports_by_id(&self, ids: &[CrashReportId], now: Millis) -> Vec<Crash> {
+        let found = ids.iter().filter_map(|id| {
+            let report = self.reports.get(id)?;
             Some(Crash {
-                server: sighting.0,
-                reporter: sighting.1,
+                server: id.0,
+                reporter: id.1,
                 age: report.at.age(now),
                 suspects: report.suspects.values().copied().collect(),
             })
@@ -587,10 +588,10 @@
         found.collect()
     }
 
-    /// Requests that ended well.
+    /// The requests that completed, as far as that is stored.
     pub fn cleared(&self, now: Millis) -> Vec<Cleared> {
-        let told = self.cleared.iter();
-        told.map(|(fingerprint, at)| Cleared { fingerprint: *fingerprint, age: at.age(now) })
+        let done = self.cleared.iter();
+        done.map(|(fingerprint, at)| Cleared { fingerprint: *fingerprint, age: at.age(now) })
             .collect()
     }
 }
--- a/crates/core/src/direct/permits.rs
+++ b/crates/core/src/direct/permits.rs
@@ -1,17 +1,25 @@
-//! Permits for what is bounded for all gateways together: requests to backend servers that name a limit or come back
-//! from a rest, and requests that are tried again after a server crashed.
+//! Permits for limits that hold for all gateways together, as one gateway requests and grants them.
+//! Input: requests for permits, and shares of other gateways. State: these shares, and a token
+//! bucket per subject. Decides how many permits are granted, and which gateway gets the own share.
 //!
-//! One gateway gives them out, the first of those that live in an order that all know, and the others ask it as they
-//! need them: so what is allowed can be used by any one of them, and less than one request a gateway can be allowed.
-//! Gateways need not agree on who that is, and need not know who lives. Each has one part in as many as there are
-//! gateways, living or not, and hands its part over to the one that it asks, for a short while: whoever gives out
-//! permits gives as many parts of the whole as were handed to it. A part that was handed over is handed to nobody else
-//! before that while is over. So the sum holds however many give out permits at once, on both sides of a cut too, and
-//! whoever is cut off alone has its own part.
+//! Permits are needed for requests to backend servers that have a limit or ramp up after a
+//! back-off, and for requests that are retried after a server crashed.
 //!
-//! Chosen over parts that each keeps for itself: a tenth of a request a second is of no use to anyone. Price: while
-//! the one that gives out permits changes, some seconds' worth of them is lost; the part of a gateway that is gone for
-//! good is, until it is listed no more.
+//! One gateway grants the permits: the first live gateway in an order that all gateways know. The
+//! others request permits from it as they need them. So any one gateway can use all that is
+//! allowed, and the limit can be less than one request per gateway.
+//!
+//! Gateways need not agree on which gateway grants permits, nor on which gateways are alive. Each
+//! has one share of the limit; there are as many shares as gateways, alive or not. A gateway
+//! delegates its share for a short time to the gateway that it asks. A gateway grants permits for
+//! as many shares of the limit as are delegated to it. A delegated share goes to no other gateway
+//! before that time is over. So the sum stays within the limit however many gateways grant permits
+//! at once, also on both sides of a network partition, and an isolated gateway has its own share.
+//!
+//! The alternative, a share that each gateway keeps for itself, is of no use if it is a tenth of a
+//! request per second. The cost: while the granting gateway changes, permits of some seconds are
+//! lost; the share of a gateway that is gone for good is lost until the gateway is no longer
+//! listed.
 
 use std::collections::HashMap;
 
@@ -21,45 +29,46 @@
 use crate::direct::fingerprint::Fingerprint;
 use crate::direct::members::LifeId;
 
-/// How long a part counts with the one that it was handed to.
-const HANDED_FOR: Millis = Millis(2_000);
+/// How long a delegated share counts at the gateway that it was delegated to.
+const DELEGATED_FOR: Millis = Millis(2_000);
 
-/// How long it is handed to nobody else: word of it may be on its way for as much longer.
-const KEPT_FOR: Millis = Millis(2_500);
+/// How long a delegated share goes to no other gateway. The message that delegates it may be in
+/// transit for the difference to `DELEGATED_FOR`.
+const RESERVED_FOR: Millis = Millis(2_500);
 
-/// Time between two words of a gateway that asks for nothing: its part stays handed over.
+/// Interval at which a gateway that requests no permits renews the delegation of its share.
 pub const DELEGATION_INTERVAL: Millis = Millis(600);
 
-/// Permits that are kept for one who asks: one, and so many seconds' worth.
-const SAVED_S: f64 = 0.25;
+/// A bucket holds at most one permit, and the permits of this many seconds.
+const BURST_S: f64 = 0.25;
 
-/// Time without a question about a subject after which it is forgotten here. A limit that is asked about again then
-/// begins with no permit, as all do.
-const FORGET: Millis = Millis(60_000);
+/// Time without a request for a subject after which its bucket is removed. A limit that is
+/// requested again later begins with no permit, as every limit does.
+const BUCKET_IDLE_TTL: Millis = Millis(60_000);
 
-/// Stands for a gateway, whichever of its processes.
+/// Identifies a gateway, across restarts of its process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct GatewayId(pub u64);
 
-/// Stands for what is bounded, the same at all gateways.
+/// What a limit applies to, identified in the same way at all gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Subject {
-    /// Requests to one life of a server.
+    /// Requests to one incarnation of a server.
     Server(ServerIncarnation),
-    /// Trials of a request.
+    /// Trials of a request after a crash.
     Trial(Fingerprint),
 }
 
-/// What is given to one who asks.
+/// Answer to a request for permits.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Grant {
-    /// So many requests may be sent.
+    /// Number of requests that may be sent.
     pub permits: u32,
-    /// If none: when there is one, unless others take it.
+    /// If none: time until there is a permit, unless other gateways take it.
     pub retry_in: Millis,
 }
 
-/// Permits for one subject that are not given out yet.
+/// Permits for one subject that are not granted yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     level: f64,
@@ -67,87 +76,94 @@
 }
 
 impl TokenBucket {
-    /// One that holds so many permits now.
+    /// A bucket that holds this number of permits now.
     pub(crate) fn with_level(level: f64, now: Millis) -> TokenBucket {
         TokenBucket { level, at: now }
     }
 
-    /// Adds what came since, at this rate, and takes as many whole permits as are wanted or there are.
+    /// Adds the permits accrued since the last call at this rate, and takes as many whole permits
+    /// as are wanted or available.
     pub(crate) fn take(&mut self, per_ms: f64, wanted: u32, now: Millis) -> u32 {
-        let most = 1.0 + per_ms * 1_000.0 * SAVED_S;
-        self.level = (self.level + per_ms * now.since(self.at).0 as f64).min(most);
+        let capacity = 1.0 + per_ms * 1_000.0 * BURST_S;
+        self.level = (self.level + per_ms * now.since(self.at).0 as f64).min(capacity);
         self.at = now;
         let taken = wanted.min(self.level as u32);
         self.level -= f64::from(taken);
         taken
     }
 
-    /// Time until there are so many, if none is taken.
+    /// Time until the bucket holds this number of permits, if none is taken.
     pub(crate) fn until(&self, permits: f64, per_ms: f64, now: Millis) -> Millis {
-        // Without a rate this is infinite, and saturates.
-        let lacks_ms = (permits - self.level).max(0.0) / per_ms;
-        Millis(lacks_ms.ceil() as u64) - now.since(self.at)
+        // At rate zero this is infinite, and the conversion saturates.
+        let missing_ms = (permits - self.level).max(0.0) / per_ms;
+        Millis(missing_ms.ceil() as u64) - now.since(self.at)
     }
 }
 
-/// One gateway's side of it: to whom it has handed its own part, and what it gives out itself.
+/// Shares and buckets of one gateway: where its own share is delegated to, and what it grants
+/// itself.
 #[derive(Clone, Debug)]
 pub struct Permits {
-    handed_to: Option<LifeId>,
-    /// Until when its own part is kept for whom it was handed to.
-    kept_until: Millis,
-    /// Whose parts were handed to this gateway, and until when they count.
-    parts: HashMap<GatewayId, Millis>,
+    delegated_to: Option<LifeId>,
+    /// Until when the own share is reserved for the gateway that it is delegated to.
+    reserved_until: Millis,
+    /// Shares delegated to this gateway, by their owner, with the time until which they count.
+    shares: HashMap<GatewayId, Millis>,
     buckets: HashMap<Subject, TokenBucket>,
 }
 
 impl Permits {
-    /// A process that begins: the one before it may have handed its part over.
+    /// State of a new process. Its predecessor may have delegated the share, so the share is
+    /// reserved.
     pub fn new(now: Millis) -> Permits {
         Permits {
-            handed_to: None,
-            kept_until: now + KEPT_FOR,
-            parts: HashMap::new(),
+            delegated_to: None,
+            reserved_until: now + RESERVED_FOR,
+            shares: HashMap::new(),
             buckets: HashMap::new(),
         }
     }
 
-    /// A gateway is asked: whether the own part is handed to it.
+    /// Called when a gateway is asked for permits. Returns whether the own share is delegated to
+    /// it.
     pub fn delegate_share(&mut self, to: LifeId, now: Millis) -> bool {
-        if self.handed_to != Some(to) && now < self.kept_until {
+        if self.delegated_to != Some(to) && now < self.reserved_until {
             return false;
         }
-        self.handed_to = Some(to);
-        self.kept_until = now + KEPT_FOR;
+        self.delegated_to = Some(to);
+        self.reserved_until = now + RESERVED_FOR;
         true
     }
 
-    /// A gateway, this one too, has handed its part to this one.
+    /// A gateway, which may be this one, has delegated its share to this one.
     pub fn add_share(&mut self, from: GatewayId, now: Millis) {
-        self.parts.insert(from, now + HANDED_FOR);
+        self.shares.insert(from, now + DELEGATED_FOR);
     }
 
-    /// Gives permits for a server of this limit, as many as are wanted or there are; `first` of them are there at the
-    /// first question. `gateways` is how many there are, living or not; `None` if this one cannot know.
+    /// Grants permits for a server with this limit, as many as are wanted or available. A new
+    /// bucket holds `initial_level` permits. `gateways` is the number of gateways, alive or not;
+    /// `None` if unknown.
     pub fn grant(
         &mut self,
         server: ServerIncarnation,
         limit: Rate,
         wanted: u32,
-        first: f64,
+        initial_level: f64,
         gateways: Option<usize>,
         now: Millis,
     ) -> Grant {
-        self.parts.retain(|_, until| *until > now);
-        let of = gateways.map_or(f64::INFINITY, |known| known.max(self.parts.len()).max(1) as f64);
-        let per_ms = limit.per_ms() * self.parts.len() as f64 / of;
-        self.take(Subject::Server(server), per_ms, wanted, first, now)
+        self.shares.retain(|_, until| *until > now);
+        let total_shares =
+            gateways.map_or(f64::INFINITY, |known| known.max(self.shares.len()).max(1) as f64);
+        let per_ms = limit.per_ms() * self.shares.len() as f64 / total_shares;
+        self.take(Subject::Server(server), per_ms, wanted, initial_level, now)
     }
 
-    /// Lets one trial of a request begin, if none did less than `every` ago by this one. That holds for who gives out
-    /// permits alone, whosever parts it was handed: it may be that two are begun, and none has to wait for the parts.
-    pub fn grant_trial(&mut self, request: Fingerprint, every: Millis, now: Millis) -> Grant {
-        self.take(Subject::Trial(request), 1.0 / every.0.max(1) as f64, 1, 1.0, now)
+    /// Grants one trial of a request, unless this gateway granted one less than `interval` ago.
+    /// This does not depend on the shares: two gateways may grant a trial each, and no trial waits
+    /// for shares.
+    pub fn grant_trial(&mut self, request: Fingerprint, interval: Millis, now: Millis) -> Grant {
+        self.take(Subject::Trial(request), 1.0 / interval.0.max(1) as f64, 1, 1.0, now)
     }
 
     fn take(
@@ -155,11 +171,12 @@
         subject: Subject,
         per_ms: f64,
         wanted: u32,
-        first: f64,
+        initial_level: f64,
         now: Millis,
     ) -> Grant {
-        self.buckets.retain(|_, bucket| now.since(bucket.at) < FORGET);
-        let bucket = self.buckets.entry(subject).or_insert(TokenBucket::with_level(first, now));
+        self.buckets.retain(|_, bucket| now.since(bucket.at) < BUCKET_IDLE_TTL);
+        let bucket =
+            self.buckets.entry(subject).or_insert(TokenBucket::with_level(initial_level, now));
         let permits = bucket.take(per_ms, wanted, now);
         Grant { permits, retry_in: bucket.until(1.0, per_ms, now) }
     }
--- a/crates/core/src/direct/server_notices.rs
+++ b/crates/core/src/direct/server_notices.rs
@@ -1,86 +1,94 @@
-//! What a backend server asks of this gateway in its answers: to be sent nothing for a while, or nothing more.
+//! Notices of one backend server to one gateway: a back-off for some time, or that it is leaving.
+//! Input: the notices and the answers of the server. State: the current back-off and the ramp-up
+//! after it. Decides whether the server is sent requests, and how many while it ramps up.
 //!
-//! Other rests are this gateway's own judgement: they say who is chosen first, and whoever rests is still a last
-//! resort. What a server asks binds: nothing is sent, even if no other server is left, and no report of anybody ends
-//! it. It concerns one life of a server, and this gateway alone.
+//! Other back-offs are this gateway's own decision: they affect which server is preferred, and a
+//! server that is backing off is still a last resort. A notice of the server is binding: the server
+//! is sent nothing, even if no other server is left, and no report ends it. It applies to one
+//! incarnation of the server, and to this gateway only.
 
 use crate::clock::Millis;
 use crate::direct::advertised_limit::Rate;
 
-/// Longest rest that is kept: one that asks for more has told a wrong number, and would be lost for good. Servers
-/// ask for seconds; a new life is back within a minute.
+/// Maximum back-off. A server that asks for more sent a wrong number, and would otherwise be lost
+/// for good. Servers ask for seconds, and a new incarnation is back within a minute.
 pub const MAX_BACK_OFF: Millis = Millis(600_000);
 
-/// Requests that a server gets at once when its rest is over, until one is answered; doubled with each answer. All
-/// callers that were turned away meanwhile come then.
-const FIRST_AGAIN: u32 = 1;
+/// Number of requests that a server may have in flight after its back-off until it answers one;
+/// doubled with each answer. All callers that were refused meanwhile retry at that time.
+const RAMP_UP_FIRST_REQUESTS: u32 = 1;
 
-/// Requests a second that all gateways together send at first when its rest is over, and the time in which they
-/// become twice as many: hundreds of gateways with one request each would be as much a rush as one with hundreds.
-const FIRST_PER_S: u64 = 1;
-const DOUBLED_IN: Millis = Millis(500);
+/// Requests per second that all gateways together send at first after a back-off, and the time in
+/// which this rate doubles. One request from each of hundreds of gateways would be as large a burst
+/// as hundreds from one gateway.
+const RAMP_UP_FIRST_PER_S: u64 = 1;
+const RAMP_UP_DOUBLING_TIME: Millis = Millis(500);
 
-/// Time after its rest from which a server has all its turns again.
-const BACK_AFTER: Millis = Millis(3_000);
+/// Time after the back-off from which a server gets its full share of requests again.
+const RAMP_UP_DURATION: Millis = Millis(3_000);
 
-/// The time that a server asks for, in seconds or parts of them, bounded; `None` if the text is no time.
+/// Parses the back-off that a server asks for, in seconds and fractions of them, and bounds it.
+/// `None` if the text is no such time.
 pub fn parse_back_off(text: &str) -> Option<Millis> {
     let text = text.trim();
-    // Words that stand for numbers, and signs, are none.
+    // Signs, and words that parse as a number, are not accepted.
     if !text.starts_with(|first: char| first.is_ascii_digit() || first == '.') {
         return None;
     }
     let asked_ms = text.parse::<f64>().ok()? * 1_000.0;
-    // Too large a number is infinite; part of a millisecond is a whole one.
+    // A number that is too large parses as infinite; a fraction of a millisecond is rounded up.
     (asked_ms > 0.0).then(|| Millis(asked_ms.min(MAX_BACK_OFF.0 as f64).ceil() as u64))
 }
 
-/// What one life of a server has asked.
+/// Notices of one incarnation of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerNotices {
-    leaves: bool,
+    is_leaving: bool,
     backing_off_until: Millis,
-    /// Requests that it may have at once, while it comes back from a rest.
-    at_once: Option<u32>,
+    /// Number of requests that the server may have in flight, during the ramp-up after a back-off.
+    max_in_flight: Option<u32>,
 }
 
 impl ServerNotices {
-    /// It said that it leaves: for good.
+    /// Records that the server announced that it is leaving. This is final.
     pub fn set_leaving(&mut self) {
-        self.leaves = true;
+        self.is_leaving = true;
     }
 
-    /// Whether it said that it leaves.
+    /// Whether the server announced that it is leaving.
     pub fn announced_leaving(&self) -> bool {
-        self.leaves
+        self.is_leaving
     }
 
-    /// It asked for a rest. Of several that overlap the one that ends last binds.
+    /// Records a back-off that the server asked for. Of several that overlap, the last one to end
+    /// holds.
     pub fn back_off(&mut self, span: Millis, now: Millis) {
         self.backing_off_until = self.backing_off_until.max(now + span.min(MAX_BACK_OFF));
-        self.at_once = Some(FIRST_AGAIN);
+        self.max_in_flight = Some(RAMP_UP_FIRST_REQUESTS);
     }
 
-    /// When its rest ends, if it rests.
+    /// End of the current back-off, if there is one.
     pub fn backing_off_until(&self, now: Millis) -> Option<Millis> {
         (self.backing_off_until > now).then_some(self.backing_off_until)
     }
 
-    /// What all gateways together send it, while it comes back from a rest.
+    /// Rate at which all gateways together send requests, during the ramp-up after a back-off.
     pub fn ramp_up_rate(&self, now: Millis) -> Option<Rate> {
-        self.at_once?;
+        self.max_in_flight?;
         let since = now.since(self.backing_off_until);
-        let doublings = since.0 / DOUBLED_IN.0;
-        (since < BACK_AFTER).then(|| Rate { in_1000_s: (FIRST_PER_S * 1_000) << doublings })
+        let doublings = since.0 / RAMP_UP_DOUBLING_TIME.0;
+        (since < RAMP_UP_DURATION)
+            .then(|| Rate { in_1000_s: (RAMP_UP_FIRST_PER_S * 1_000) << doublings })
     }
 
-    /// It has answered a request that it took.
+    /// Records that the server accepted and answered a request.
     pub fn record_answer(&mut self, slots: u32) {
-        self.at_once = self.at_once.map(|most| most.saturating_mul(2)).filter(|most| *most < slots);
+        self.max_in_flight =
+            self.max_in_flight.map(|limit| limit.saturating_mul(2)).filter(|limit| *limit < slots);
     }
 
-    /// Whether one more than so many requests are no rush.
+    /// Whether the ramp-up admits one more request than this number.
     pub fn admits_one_more(&self, requests: u32) -> bool {
-        self.at_once.is_none_or(|most| requests < most)
+        self.max_in_flight.is_none_or(|limit| requests < limit)
     }
 }
--- a/crates/core/src/direct/truncated_answers.rs
+++ b/crates/core/src/direct/truncated_answers.rs
@@ -1,45 +1,50 @@
-//! Answers of one server that broke off, from which follows what was there if it turns out to have crashed.
+//! Truncated answers of one incarnation of a backend server, as one gateway observed them.
+//! Input: truncated and complete answers, with their times. State: the requests whose answers were
+//! truncated. Decides, once the server has crashed, when it did and which requests were there.
 //!
-//! That is found out late where the platform's list is late, and requests are sent to the server meanwhile, each
-//! of which breaks off, too. So the crash is dated by the first answer that broke off with none whole since, however
-//! long ago that was, and what was sent later was not there.
+//! A crash is detected late if the platform's server list is late. Requests are sent to the server
+//! until then, and their answers are truncated too. So the time of the crash is that of the first
+//! truncated answer that no complete answer followed, however long ago it was. Requests that were
+//! sent later were not there.
 
 use crate::clock::Millis;
 use crate::direct::crashes::Stage;
 use crate::direct::crashes::Suspect;
 
-/// How long requests are remembered whose answers broke off. The list may take three heartbeats to show that a server has
-/// gone, 3.6 s at the users, and news among gateways some more.
+/// How long requests with truncated answers are stored. The server list may take three heartbeats
+/// to show that a server is gone, 3.6 s in the users' deployment, and gossip between gateways takes
+/// more.
 pub const RETENTION: Millis = Millis(6_000);
 
-/// Answers of one life of a server that broke off.
+/// Truncated answers of one incarnation of a server.
 #[derive(Clone, Debug, Default)]
 pub struct TruncatedAnswers {
-    /// The requests that have not been reported, and when each broke off.
+    /// The requests that have not been reported, with the time at which each answer was truncated.
     suspects: Vec<(Millis, Suspect)>,
-    /// When the first one did since the server lived, remembered or not.
+    /// Time of the first truncated answer since the server was last known to be up, still stored or
+    /// not.
     first_at: Option<Millis>,
-    /// When the last one did.
-    at: Millis,
-    /// When it crashed, once that was reported.
+    /// Time of the last truncated answer.
+    last_at: Millis,
+    /// Time of the crash, once it was reported.
     crashed_at: Option<Millis>,
 }
 
 impl TruncatedAnswers {
-    /// Takes one more, and forgets those that broke off long before it.
+    /// Records a truncated answer, and removes those that were truncated long before it.
     pub fn add(&mut self, suspect: Suspect, now: Millis) {
         self.suspects.retain(|(at, _)| now.since(*at) < RETENTION);
         self.suspects.push((now, suspect));
         self.first_at.get_or_insert(now);
-        self.at = now;
+        self.last_at = now;
     }
 
-    /// Whether the last one broke off so long ago that it tells nothing any more.
+    /// Whether the last truncated answer is too old to be evidence of a crash.
     pub fn is_expired(&self, now: Millis) -> bool {
-        now.since(self.at) >= RETENTION
+        now.since(self.last_at) >= RETENTION
     }
 
-    /// The server has answered what was sent at `sent_at`: it has not crashed before.
+    /// Records that the server answered a request sent at `sent_at`: it had not crashed by then.
     pub fn record_answer(&mut self, sent_at: Millis) {
         self.suspects.retain(|(at, _)| *at > sent_at);
         if self.first_at.is_some_and(|first_at| first_at <= sent_at) {
@@ -47,10 +52,11 @@
         }
     }
 
-    /// The server has crashed: when, and what was there then and is not reported yet. What was sent later and not
-    /// answered was not.
+    /// The server has crashed. Returns the time of the crash, and the requests that were there and
+    /// are not reported yet. A request that was sent later and whose answer did not begin was not
+    /// there.
     pub fn confirm_crash(&mut self) -> (Millis, Vec<Suspect>) {
-        let crashed_at = *self.crashed_at.get_or_insert(self.first_at.unwrap_or(self.at));
+        let crashed_at = *self.crashed_at.get_or_insert(self.first_at.unwrap_or(self.last_at));
         let there = self.suspects.drain(..).filter_map(|(at, suspect)| {
             let sent_at = at - suspect.ran;
             let was_there = suspect.stage > Stage::Waiting || sent_at <= crashed_at;
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -263,11 +263,7 @@
             panic!("{own}")
         };
         assert!(left >= hold_back && left < hold_back + hold_back_spread, "{left}");
-        assert_eq!(
-            crashes.quarantine(Fingerprint(8), NOW),
-            Quarantine::Unrestricted,
-            "others are not"
-        );
+        assert_eq!(crashes.quarantine(Fingerprint(8), NOW), Quarantine::Free, "others are not");
         assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
         assert_eq!(crashes.quarantine(Fingerprint(7), NOW + left), Quarantine::OneAtATime);
         ends.push(left);
@@ -287,11 +283,11 @@
     further.reporter = Reporter(2);
     further.suspects[0].stage = Stage::Running;
     crashes.record(&further, NOW);
-    assert_eq!(crashes.quarantine(Fingerprint(9), NOW), Quarantine::Unrestricted);
+    assert_eq!(crashes.quarantine(Fingerprint(9), NOW), Quarantine::Free);
     crashes.record(&at_start(1, 7), NOW);
     let cleared = Cleared { fingerprint: Fingerprint(7), age: Millis::ZERO };
     assert_eq!(crashes.clear(cleared, NOW + Millis(5)), MergeOutcome::Urgent);
-    assert_eq!(crashes.quarantine(Fingerprint(7), NOW + Millis(5)), Quarantine::Unrestricted);
+    assert_eq!(crashes.quarantine(Fingerprint(7), NOW + Millis(5)), Quarantine::Free);
 }
 
 #[test]
@@ -306,7 +302,7 @@
     assert_eq!(crashes.refused(later), [Fingerprint(7)]);
     assert_eq!(
         crashes.quarantine(Fingerprint(8), later),
-        Quarantine::Unrestricted,
+        Quarantine::Free,
         "explained by the other"
     );
     let left = crashes.refused_for(Fingerprint(7), later).unwrap();
