--- a/crates/core/tests/crash_fleet/mod.rs
+++ b/crates/core/tests/crash_fleet/mod.rs
@@ -1,4 +1,6 @@
-//! Gateways before servers that crash: under some requests always, and now and then by themselves.
+//! Simulation of gateways that send requests to servers, for `tests/crashes.rs`. Servers crash
+//! under some requests always, and now and then by themselves. Gateways gossip with delay and loss,
+//! are isolated for some time, and restart.
 
 use std::collections::BTreeMap;
 
@@ -18,44 +20,44 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// How long a gateway that was cut off or started anew may know nothing.
-const CONTACT: Millis = Millis(3_000);
+/// Time for which a gateway may know nothing after it was isolated or restarted.
+const CONTACT_TIME: Millis = Millis(3_000);
 
-/// One step of the model.
+/// One step of the simulation.
 const TICK: Millis = Millis(10);
 
-/// Time between two exchanges of news by one gateway.
-const ROUND: Millis = Millis(600);
+/// Interval between two gossip rounds of one gateway.
+const GOSSIP_INTERVAL: Millis = Millis(600);
 
 /// Time from the start of a request that crashes servers to the crash.
 const CRASHES_AFTER: Millis = Millis(100);
 
-/// Servers that one request is sent to at most.
-const MOST_ATTEMPTS: u32 = 2;
+/// Maximum number of servers that one request is sent to.
+const MAX_ATTEMPTS: u32 = 2;
 
-/// How long a crashed server is away.
-const AWAY: Millis = Millis(4_000);
+/// Time until a crashed server is back.
+const RESTART_TIME: Millis = Millis(4_000);
 
 /// Time from the start of a request to its first event.
 const FIRST_EVENT: Millis = Millis(150);
 
 const END: Millis = Millis(60_000);
 
-/// What happens on a day.
+/// Parameters of one simulated run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     rng: ChaCha8Rng,
     gateways: usize,
     servers: usize,
     culprits: u64,
-    /// Mean time between two crashes that are nobody's doing.
+    /// Mean time between two crashes that no request causes.
     ordinary: Millis,
-    /// Mean time between two gateways that are cut off from the others, or start anew.
-    troubles: Millis,
+    /// Mean time between two disturbances: gateways are isolated from the others, or restart.
+    disturbances: Millis,
 }
 
 impl Plan {
-    /// A day drawn by a seed.
+    /// Parameters drawn from a seed.
     pub fn drawn(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         Plan {
@@ -63,32 +65,32 @@
             servers: rng.random_range(8..32),
             culprits: rng.random_range(1..4),
             ordinary: Millis(rng.random_range(1_500..20_000)),
-            troubles: Millis(rng.random_range(4_000..30_000)),
+            disturbances: Millis(rng.random_range(4_000..30_000)),
             rng,
         }
     }
 }
 
-/// What was seen of a day.
+/// What was observed in one run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// How often each request that crashes servers was sent by gateways in touch later than the contact time after
-    /// its third crash.
+    /// How often each request that crashes servers was sent by connected gateways later than the
+    /// contact time after its third crash.
     pub sent_late: BTreeMap<Fingerprint, u32>,
     pub culprits_refused: u32,
     pub innocents: u32,
     pub innocents_refused: u32,
     pub held: u32,
-    /// Held back though no server had crashed lately as they began there.
+    /// Requests held back although no server had recently crashed in their stage `Starting`.
     pub held_without_reason: u32,
-    /// Most crashes that one gateway remembered.
-    pub most_known: usize,
+    /// Maximum number of crash reports that one gateway stored.
+    pub max_known: usize,
 }
 
 struct Gateway {
     crashes: Crashes,
     started_at: Millis,
-    cut_until: Millis,
+    isolated_until: Millis,
     next_round: Millis,
     urgent: u32,
 }
@@ -98,24 +100,24 @@
         Gateway {
             crashes: Crashes::new(Config::default(), Reporter(number as u64)),
             started_at: now,
-            cut_until: Millis::ZERO,
+            isolated_until: Millis::ZERO,
             next_round: now,
             urgent: 0,
         }
     }
 
-    /// Its own clock begins as its process does.
+    /// The gateway's own clock, which begins at the start of its process.
     fn clock(&self, now: Millis) -> Millis {
         now.since(self.started_at)
     }
 
     fn is_in_touch(&self, now: Millis) -> bool {
-        now >= self.started_at + CONTACT
-            && (self.cut_until == Millis::ZERO || now >= self.cut_until + CONTACT)
+        now >= self.started_at + CONTACT_TIME
+            && (self.isolated_until == Millis::ZERO || now >= self.isolated_until + CONTACT_TIME)
     }
 
-    fn note(&mut self, news: MergeOutcome) {
-        if news == MergeOutcome::Urgent {
+    fn note(&mut self, change: MergeOutcome) {
+        if change == MergeOutcome::Urgent {
             self.urgent = 2;
         }
     }
@@ -125,24 +127,24 @@
     fingerprint: Fingerprint,
     gateway: usize,
     server: usize,
-    life: u64,
+    incarnation: u64,
     began: Millis,
     ends: Millis,
     attempt: u32,
 }
 
-/// A fleet on one day.
+/// State of one simulated run.
 pub struct Fleet {
     plan: Plan,
     now: Millis,
     gateways: Vec<Gateway>,
-    /// The life of each server, and from when on it is there.
+    /// The incarnation of each server, and the time from which it is up.
     servers: Vec<(u64, Millis)>,
     runs: Vec<Run>,
-    /// What the platform keeps: crashes with the time of each.
-    kept: BTreeMap<Fingerprint, Vec<(Crash, Millis)>>,
+    /// What is stored on the platform: crashes with the time of each.
+    stored: BTreeMap<Fingerprint, Vec<(Crash, Millis)>>,
     crashes_by: BTreeMap<Fingerprint, Vec<Millis>>,
-    /// When a server crashed last as a request began there.
+    /// Time of the last crash of a server at which each request was in stage `Starting`.
     began_at_crash: BTreeMap<Fingerprint, Millis>,
     next_innocent: u64,
     outcome: Outcome,
@@ -157,7 +159,7 @@
             gateways: (0..plan.gateways).map(|number| Gateway::starting(number, now)).collect(),
             servers: (0..plan.servers).map(|number| (number as u64, now)).collect(),
             runs: Vec::new(),
-            kept: BTreeMap::new(),
+            stored: BTreeMap::new(),
             crashes_by: BTreeMap::new(),
             began_at_crash: BTreeMap::new(),
             next_innocent: 1_000,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Plays the day.
+    /// Runs the simulation.
     pub fn play(mut self) -> Outcome {
         let end = self.now + END;
         while self.now < end {
@@ -177,15 +179,15 @@
                 let server = self.plan.rng.random_range(0..self.servers.len());
                 self.crash(server, None);
             }
-            if self.happens(self.plan.troubles) {
-                self.trouble();
+            if self.happens(self.plan.disturbances) {
+                self.disturb();
             }
-            self.exchange();
+            self.gossip();
             let known = self
                 .gateways
                 .iter()
                 .map(|one| one.crashes.report_digests(one.clock(self.now)).len());
-            self.outcome.most_known = self.outcome.most_known.max(known.max().unwrap_or(0));
+            self.outcome.max_known = self.outcome.max_known.max(known.max().unwrap_or(0));
         }
         self.outcome
     }
@@ -198,7 +200,7 @@
         Fingerprint(number)
     }
 
-    /// One request that all send again and again.
+    /// A request that is sent over and over at all gateways.
     fn common() -> Fingerprint {
         Fingerprint(900)
     }
@@ -239,10 +241,10 @@
             return;
         }
         let quarantine = sender.crashes.quarantine(fingerprint, sender.clock(now));
-        let is_out =
+        let is_in_flight =
             || self.runs.iter().any(|run| run.fingerprint == fingerprint && run.gateway == gateway);
         if matches!(quarantine, Quarantine::HeldBack(_))
-            || (quarantine == Quarantine::OneAtATime && is_out())
+            || (quarantine == Quarantine::OneAtATime && is_in_flight())
         {
             let crashed = self.began_at_crash.get(&fingerprint);
             let Config { hold_back, hold_back_spread, report_ttl, .. } = Config::default();
@@ -264,14 +266,22 @@
         let server = there[self.plan.rng.random_range(0..there.len())];
         if is_culprit {
             let crashed = self.crashes_by.get(&fingerprint).and_then(|times| times.get(2).copied());
-            let is_late = crashed.is_some_and(|third| now > third + CONTACT);
+            let is_late = crashed.is_some_and(|third| now > third + CONTACT_TIME);
             if is_late && sender.is_in_touch(now) {
                 *self.outcome.sent_late.entry(fingerprint).or_default() += 1;
             }
         }
-        let life = self.servers[server].0;
+        let incarnation = self.servers[server].0;
         let ends = now + length;
-        self.runs.push(Run { fingerprint, gateway, server, life, began: now, ends, attempt });
+        self.runs.push(Run {
+            fingerprint,
+            gateway,
+            server,
+            incarnation,
+            began: now,
+            ends,
+            attempt,
+        });
     }
 
     fn run(&mut self) {
@@ -281,35 +291,38 @@
         self.runs = going;
         for run in done {
             if self.is_culprit(run.fingerprint) {
-                if self.servers[run.server].0 == run.life {
+                if self.servers[run.server].0 == run.incarnation {
                     self.crash(run.server, Some(run));
                 }
                 continue;
             }
             let gateway = &mut self.gateways[run.gateway];
             let clock = gateway.clock(now);
-            let news = gateway.crashes.record_completed(run.fingerprint, clock);
-            gateway.note(news);
-            if news != MergeOutcome::Unchanged {
-                self.kept.remove(&run.fingerprint);
+            let change = gateway.crashes.record_completed(run.fingerprint, clock);
+            gateway.note(change);
+            if change != MergeOutcome::Unchanged {
+                self.stored.remove(&run.fingerprint);
             }
         }
     }
 
-    /// A server crashes: by a request, or by itself. What ran there is sent elsewhere.
+    /// A server crashes, by a request or by itself. The other requests there are sent to other
+    /// servers.
     fn crash(&mut self, server: usize, by: Option<Run>) {
         let now = self.now;
         if self.servers[server].1 > now {
             return;
         }
-        let life = self.servers[server].0;
+        let incarnation = self.servers[server].0;
         if let Some(run) = &by {
             self.crashes_by.entry(run.fingerprint).or_default().push(now);
         }
-        let (there, elsewhere): (Vec<Run>, Vec<Run>) =
-            self.runs.drain(..).partition(|run| run.server == server && run.life == life);
+        let (there, elsewhere): (Vec<Run>, Vec<Run>) = self
+            .runs
+            .drain(..)
+            .partition(|run| run.server == server && run.incarnation == incarnation);
         self.runs = elsewhere;
-        self.servers[server] = (life + 1_000, now + AWAY);
+        self.servers[server] = (incarnation + 1_000, now + RESTART_TIME);
         for run in there.into_iter().chain(by) {
             let ran = now.since(run.began);
             let stage = if ran < FIRST_EVENT { Stage::Starting } else { Stage::Running };
@@ -318,21 +331,21 @@
                 self.began_at_crash.insert(run.fingerprint, now);
             }
             let crash = Crash {
-                server: ServerIncarnation(life),
+                server: ServerIncarnation(incarnation),
                 reporter: Reporter(run.gateway as u64),
                 age: Millis::ZERO,
                 suspects: vec![suspect],
             };
             let gateway = &mut self.gateways[run.gateway];
             let clock = gateway.clock(now);
-            let news = gateway.crashes.record(&crash, clock);
-            gateway.note(news);
+            let change = gateway.crashes.record(&crash, clock);
+            gateway.note(change);
             if gateway.crashes.repeat_suspects(clock).contains(&run.fingerprint) {
                 let known = gateway.crashes.crashes_of(run.fingerprint, clock);
                 let dated = known.into_iter().map(|crash| (crash.clone(), now.since(crash.age)));
-                self.kept.insert(run.fingerprint, dated.collect());
+                self.stored.insert(run.fingerprint, dated.collect());
             }
-            if run.attempt < MOST_ATTEMPTS {
+            if run.attempt < MAX_ATTEMPTS {
                 let length =
                     if self.is_culprit(run.fingerprint) { CRASHES_AFTER } else { Millis(400) };
                 self.attempt(run.fingerprint, run.gateway, length, run.attempt + 1);
@@ -340,66 +353,67 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn disturb(&mut self) {
         let now = self.now;
         let which = self.plan.rng.random_range(0..self.gateways.len());
         if self.plan.rng.random_bool(0.5) {
             let length = self.plan.rng.random_range(500..8_000);
-            self.gateways[which].cut_until = now + Millis(length);
+            self.gateways[which].isolated_until = now + Millis(length);
             return;
         }
-        // One starts anew, or now and then all.
+        // One gateway restarts, or now and then all of them.
         let all = self.plan.rng.random_bool(0.2);
         let anew = if all { (0..self.gateways.len()).collect() } else { vec![which] };
         for which in anew {
             let mut gateway = Gateway::starting(which, now);
-            for (crash, at) in self.kept.values().flatten() {
+            for (crash, at) in self.stored.values().flatten() {
                 let crash = Crash { age: now.since(*at), ..crash.clone() };
                 gateway.crashes.record(&crash, Millis::ZERO);
             }
             self.gateways[which] = gateway;
-            // Its connections are gone.
+            // The connections of the old process are closed.
             self.runs.retain(|run| run.gateway != which);
         }
     }
 
-    fn exchange(&mut self) {
+    fn gossip(&mut self) {
         let now = self.now;
         for asks in 0..self.gateways.len() {
             let due = self.gateways[asks].next_round <= now || self.gateways[asks].urgent > 0;
-            if !due || self.gateways[asks].cut_until > now {
+            if !due || self.gateways[asks].isolated_until > now {
                 continue;
             }
             let gateway = &mut self.gateways[asks];
             gateway.urgent = gateway.urgent.saturating_sub(1);
-            gateway.next_round = now + ROUND;
+            gateway.next_round = now + GOSSIP_INTERVAL;
             let answers = self.plan.rng.random_range(0..self.gateways.len());
-            // One exchange in ten is lost.
+            // One gossip round in ten is lost.
             let lost = self.plan.rng.random_bool(0.1);
-            if answers != asks && self.gateways[answers].cut_until <= now && !lost {
-                self.tell(asks, answers);
-                self.tell(answers, asks);
+            if answers != asks && self.gateways[answers].isolated_until <= now && !lost {
+                self.send_reports(asks, answers);
+                self.send_reports(answers, asks);
             }
         }
     }
 
-    /// One gateway gives another what that lacks, which hears of it up to 50 ms late.
-    fn tell(&mut self, from: usize, to: usize) {
+    /// One gateway sends another the reports that it lacks; they arrive up to 50 ms late.
+    fn send_reports(&mut self, from: usize, to: usize) {
         let now = self.now;
         let waited = Millis(self.plan.rng.random_range(0..50));
         let clock = self.gateways[to].clock(now);
         let known = self.gateways[to].crashes.report_digests(clock);
-        let teller = &self.gateways[from];
-        let (told, _) = teller.crashes.compare(&known, teller.clock(now));
-        let cleared = teller.crashes.cleared(teller.clock(now));
-        let hears = &mut self.gateways[to];
-        for crash in told {
-            let news = hears.crashes.record(&Crash { age: crash.age + waited, ..crash }, clock);
-            hears.note(news);
+        let source = &self.gateways[from];
+        let (lacking, _) = source.crashes.compare(&known, source.clock(now));
+        let cleared = source.crashes.cleared(source.clock(now));
+        let receiver = &mut self.gateways[to];
+        for crash in lacking {
+            let change =
+                receiver.crashes.record(&Crash { age: crash.age + waited, ..crash }, clock);
+            receiver.note(change);
         }
         for one in cleared {
-            let news = hears.crashes.clear(Cleared { age: one.age + waited, ..one }, clock);
-            hears.note(news);
+            let change = receiver.crashes.clear(Cleared { age: one.age + waited, ..one }, clock);
+            receiver.note(change);
         }
     }
 }
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -1,5 +1,8 @@
-//! Which requests crash servers: single rules, and a fleet of gateways that hear of crashes late, beside
-//! ordinary crashes.
+//! Guards against two failures: a request that crashes servers is not refused, or another request
+//! is refused in its place. Both come about if reports of crashes are late, reach gateways in
+//! different orders, or list requests that ran beside the cause or were sent after the crash. There
+//! are tests of single rules, and of a fleet of gateways that receive reports late, among ordinary
+//! crashes.
 
 mod crash_fleet;
 
@@ -25,7 +28,7 @@
 
 const NOW: Millis = Millis(50_000);
 
-/// Seeds of the fleet that are played.
+/// Number of seeds for which the fleet is simulated.
 const SEEDS: u64 = 40;
 
 fn crash(server: u64, suspects: &[(u64, u64)]) -> Crash {
@@ -42,7 +45,7 @@
     }
 }
 
-fn knowing(reports: &[Crash]) -> Crashes {
+fn with_reports(reports: &[Crash]) -> Crashes {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for report in reports {
         crashes.record(report, NOW);
@@ -52,9 +55,9 @@
 
 #[test]
 fn the_third_crash_tells() {
-    let mut crashes = knowing(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
+    let mut crashes = with_reports(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
-    // Told again, it is the same crash.
+    // A repeated report is the same crash.
     assert_eq!(crashes.record(&crash(2, &[(7, 90)]), NOW), MergeOutcome::Unchanged);
     assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
     assert_eq!(crashes.record(&crash(3, &[(7, 90)]), NOW), MergeOutcome::Urgent);
@@ -63,15 +66,16 @@
 
 #[test]
 fn what_ran_beside_it_is_explained_by_it() {
-    // One that was beside it at all three crashes, but had been there for long at the first.
+    // Request 8 was at all three crashes too, but had run for long at the first.
     let reports = [
         crash(1, &[(7, 90), (8, 900), (9, 20)]),
         crash(2, &[(7, 80), (8, 30)]),
         crash(3, &[(7, 95), (8, 35), (9, 50)]),
     ];
-    let mut crashes = knowing(&reports);
+    let mut crashes = with_reports(&reports);
     assert_eq!(crashes.refused(NOW), [Fingerprint(7)]);
-    // Beside others that it does not explain, it takes three more.
+    // The crashes explained by request 7 do not count against 9: it takes three others to refuse
+    // it.
     crashes.record(&crash(4, &[(9, 10)]), NOW);
     crashes.record(&crash(5, &[(9, 10)]), NOW);
     assert_eq!(crashes.refused_for(Fingerprint(9), NOW), None);
@@ -82,30 +86,34 @@
 
 #[test]
 fn who_ends_well_did_not_do_it() {
-    let mut crashes = knowing(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
+    let mut crashes = with_reports(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     let later = NOW + Millis(10);
     let cleared = Cleared { fingerprint: Fingerprint(7), age: Millis::ZERO };
     assert_eq!(crashes.clear(cleared, later), MergeOutcome::Urgent);
     let old = Crash { age: Millis(500), ..crash(3, &[(7, 90)]) };
-    assert_eq!(crashes.record(&old, later), MergeOutcome::Unchanged, "it crashed before that");
+    assert_eq!(
+        crashes.record(&old, later),
+        MergeOutcome::Unchanged,
+        "the crash was before the completion"
+    );
     for server in 4..6 {
         crashes.record(&crash(server, &[(7, 90)]), later + Millis(10));
     }
-    assert_eq!(crashes.refused(later + Millis(10)), [], "two since");
+    assert_eq!(crashes.refused(later + Millis(10)), [], "only two crashes since");
 }
 
 #[test]
 fn a_refusal_ends() {
     let config = Config::default();
-    let mut crashes = knowing(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
+    let mut crashes = with_reports(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     let later = NOW + Millis(60_000);
     crashes.record(&crash(3, &[(7, 90)]), later);
     let end = NOW + config.report_ttl;
     assert_eq!(crashes.refused_for(Fingerprint(7), later), Some(end.since(later)));
     assert_eq!(crashes.refused_for(Fingerprint(7), end), None);
     crashes.expire(end);
-    assert_eq!(crashes.report_digests(end).len(), 1, "the last is as old as that later");
-    // What is told too late counts no more.
+    assert_eq!(crashes.report_digests(end).len(), 1, "only the last report counts still");
+    // A report that arrives too late does not count.
     let old = Crash { age: config.report_ttl, ..crash(9, &[(7, 90)]) };
     assert_eq!(crashes.record(&old, end), MergeOutcome::Unchanged);
 }
@@ -120,11 +128,10 @@
     }
     let end = NOW + Millis(1_000);
     assert_eq!(crashes.report_digests(end).len(), config.max_crashes);
-    let kept: Vec<CrashReportId> =
-        crashes.report_digests(end).iter().map(|(sighting, _)| *sighting).collect();
-    assert!(kept.iter().all(|(server, _)| server.0 >= 1_000 - config.max_crashes as u64));
-    let told = crashes.reports_by_id(&kept, end);
-    assert!(told.iter().all(|one| one.suspects.len() <= config.max_suspects));
+    let ids: Vec<CrashReportId> = crashes.report_digests(end).iter().map(|(id, _)| *id).collect();
+    assert!(ids.iter().all(|(server, _)| server.0 >= 1_000 - config.max_crashes as u64));
+    let stored = crashes.reports_by_id(&ids, end);
+    assert!(stored.iter().all(|one| one.suspects.len() <= config.max_suspects));
     for number in 0..1_000 {
         crashes.clear(Cleared { fingerprint: Fingerprint(number), age: Millis::ZERO }, end);
     }
@@ -152,18 +159,19 @@
 }
 
 proptest! {
-    /// Gateways that were told the same in any order refuse the same, and have nothing to tell each other.
+    /// Gateways that received the same reports in any order refuse the same requests, and have no
+    /// reports to exchange.
     #[test]
     fn order_does_not_matter(
         reports in vec((0..6_u64, vec((0..5_u64, 0..100_u64), 1..4)), 0..20),
-        turn in any::<Index>(),
+        rotation in any::<Index>(),
     ) {
         let reports: Vec<Crash> =
             reports.iter().map(|(server, suspects)| crash(*server, suspects)).collect();
-        let one = knowing(&reports);
-        let mut turned = reports.clone();
-        turned.rotate_left(if reports.is_empty() { 0 } else { turn.index(reports.len()) });
-        let other = knowing(&turned);
+        let one = with_reports(&reports);
+        let mut rotated = reports.clone();
+        rotated.rotate_left(if reports.is_empty() { 0 } else { rotation.index(reports.len()) });
+        let other = with_reports(&rotated);
         assert_eq!(one.digest(NOW), other.digest(NOW));
         let sorted = |crashes: &Crashes| {
             let mut refused = crashes.refused(NOW);
@@ -185,7 +193,7 @@
         assert_eq!(outcome.innocents_refused, 0, "seed {seed}: of {}", outcome.innocents);
         assert_eq!(outcome.held_without_reason, 0, "seed {seed}: of {}", outcome.innocents);
         assert!(outcome.culprits_refused > 0, "seed {seed}");
-        assert!(outcome.most_known <= Config::default().max_crashes, "seed {seed}");
+        assert!(outcome.max_known <= Config::default().max_crashes, "seed {seed}");
     }
 }
 
@@ -193,16 +201,16 @@
 fn who_ended_well_before_the_crash_was_heard_of_did_not_do_it() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     crashes.record_completed(Fingerprint(7), NOW);
-    let heard_at = NOW + Millis(900);
+    let received_at = NOW + Millis(900);
     for server in 1..4 {
-        let told = Crash { age: Millis(1_000), ..crash(server, &[(7, 90), (8, 90)]) };
-        crashes.record(&told, heard_at);
+        let late_crash = Crash { age: Millis(1_000), ..crash(server, &[(7, 90), (8, 90)]) };
+        crashes.record(&late_crash, received_at);
     }
-    assert_eq!(crashes.refused(heard_at), [Fingerprint(8)]);
+    assert_eq!(crashes.refused(received_at), [Fingerprint(8)]);
     let cleared: Vec<Fingerprint> =
-        crashes.cleared(heard_at).iter().map(|one| one.fingerprint).collect();
-    assert_eq!(cleared, [Fingerprint(7)], "others are told");
-    // Before the crash, it says nothing.
+        crashes.cleared(received_at).iter().map(|one| one.fingerprint).collect();
+    assert_eq!(cleared, [Fingerprint(7)], "other gateways receive it");
+    // A completion before the crash clears nothing.
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     crashes.record_completed(Fingerprint(7), NOW);
     for server in 1..4 {
@@ -211,33 +219,35 @@
     assert_eq!(crashes.refused(NOW + Millis(10)), [Fingerprint(7)]);
 }
 
-/// Seen in a soak: three servers crashed within a second and went on taking connections until the list dropped them. A
-/// gateway that had nothing there as they crashed sent the same request to all three after it, and took it for the cause.
+/// Guards against refusing a request that was sent to servers only after they had crashed. Three
+/// servers crash within a second and accept connections until the server list drops them. A gateway
+/// that had no request there sends the same request to all three, and takes it as the cause.
 #[test]
 fn what_was_sent_after_an_answer_had_broken_off_elsewhere_did_not_crash_the_server() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for server in 1..4 {
-        let seen = Crash { age: Millis(2_000), ..crash(server, &[(7, 90)]) };
-        let seen_late = Crash {
+        let observed = Crash { age: Millis(2_000), ..crash(server, &[(7, 90)]) };
+        let late_report = Crash {
             reporter: Reporter(2),
             age: Millis(1_400),
             ..crash(server, &[(8, 20), (9, 800)])
         };
-        crashes.record(&seen_late, NOW);
-        crashes.record(&seen, NOW);
+        crashes.record(&late_report, NOW);
+        crashes.record(&observed, NOW);
     }
     assert_eq!(crashes.refused(NOW), [Fingerprint(7)]);
-    // Where its answer had begun, the server had lived until then: what broke off before was another matter.
+    // If the answer of a request had begun, the server was up until then: an answer that was
+    // truncated before had another cause.
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for server in 1..4 {
-        let spoilt = Crash { age: Millis(4_000), ..crash(server, &[(100 + server, 90)]) };
-        crashes.record(&spoilt, NOW);
-        let mut seen = Crash { reporter: Reporter(2), ..crash(server, &[(7, 80)]) };
-        seen.suspects[0].stage = Stage::Running;
-        crashes.record(&seen, NOW);
+        let truncated = Crash { age: Millis(4_000), ..crash(server, &[(100 + server, 90)]) };
+        crashes.record(&truncated, NOW);
+        let mut observed = Crash { reporter: Reporter(2), ..crash(server, &[(7, 80)]) };
+        observed.suspects[0].stage = Stage::Running;
+        crashes.record(&observed, NOW);
     }
     assert_eq!(crashes.refused(NOW), [Fingerprint(7)]);
-    // Told by nobody else, it counts.
+    // Without a report of another gateway, the request counts.
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for server in 1..4 {
         crashes.record(&Crash { reporter: Reporter(2), ..crash(server, &[(8, 20)]) }, NOW);
@@ -245,11 +255,11 @@
     assert_eq!(crashes.refused(NOW), [Fingerprint(8)]);
 }
 
-/// A request in its first moments at one server that crashed.
+/// Report of a crash at which a request was in [`Stage::Starting`].
 fn at_start(server: u64, fingerprint: u64) -> Crash {
-    let mut seen = crash(server, &[(fingerprint, 60)]);
-    seen.suspects[0].stage = Stage::Starting;
-    seen
+    let mut observed = crash(server, &[(fingerprint, 60)]);
+    observed.suspects[0].stage = Stage::Starting;
+    observed
 }
 
 #[test]
@@ -258,25 +268,36 @@
     let mut ends = Vec::new();
     for own in 1..20 {
         let mut crashes = Crashes::new(Config::default(), Reporter(own));
-        assert_eq!(crashes.record(&at_start(1, 7), NOW), MergeOutcome::Urgent, "all need to know");
+        assert_eq!(
+            crashes.record(&at_start(1, 7), NOW),
+            MergeOutcome::Urgent,
+            "all gateways need it"
+        );
         let Quarantine::HeldBack(left) = crashes.quarantine(Fingerprint(7), NOW) else {
             panic!("{own}")
         };
         assert!(left >= hold_back && left < hold_back + hold_back_spread, "{left}");
-        assert_eq!(crashes.quarantine(Fingerprint(8), NOW), Quarantine::Free, "others are not");
+        assert_eq!(
+            crashes.quarantine(Fingerprint(8), NOW),
+            Quarantine::Free,
+            "other requests are not"
+        );
         assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
         assert_eq!(crashes.quarantine(Fingerprint(7), NOW + left), Quarantine::OneAtATime);
         ends.push(left);
     }
     ends.sort();
     let first_two = ends[1] - ends[0];
-    assert!(first_two > Millis::ZERO && ends[18] - ends[0] > Millis(2_000), "not all at once");
+    assert!(
+        first_two > Millis::ZERO && ends[18] - ends[0] > Millis(2_000),
+        "not all at the same time"
+    );
 }
 
 #[test]
 fn who_got_further_or_ends_well_is_let_go() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
-    // Whoever had got further did no harm until then, whatever else of it just began there.
+    // A request that had got further did no harm until then, even if it also just began there.
     crashes.record(&at_start(2, 9), NOW);
     assert!(matches!(crashes.quarantine(Fingerprint(9), NOW), Quarantine::HeldBack(_)));
     let mut further = at_start(2, 9);
@@ -292,8 +313,12 @@
 
 #[test]
 fn the_second_crash_at_its_beginning_tells() {
-    let mut crashes = knowing(&[at_start(1, 7), crash(2, &[(7, 90)])]);
-    assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None, "one at its beginning, one before");
+    let mut crashes = with_reports(&[at_start(1, 7), crash(2, &[(7, 90)])]);
+    assert_eq!(
+        crashes.refused_for(Fingerprint(7), NOW),
+        None,
+        "one crash in stage `Starting`, one in `Waiting`"
+    );
     let later = NOW + Millis(9_000);
     let mut third = at_start(3, 7);
     third.suspects.extend(crash(3, &[(8, 40)]).suspects);
@@ -303,7 +328,7 @@
     assert_eq!(
         crashes.quarantine(Fingerprint(8), later),
         Quarantine::Free,
-        "explained by the other"
+        "explained by the other request"
     );
     let left = crashes.refused_for(Fingerprint(7), later).unwrap();
     assert!(left >= Config::default().report_ttl - Millis(9_000));
