--- a/crates/core/tests/asked.rs
+++ b/crates/core/tests/asked.rs
@@ -1,5 +1,7 @@
-//! What servers ask of gateways: times that make sense and times that do not, and a fleet of gateways before servers
-//! that ask for rest, leave, stand still with their group and begin new lives.
+//! Guards against two failures: a gateway sends requests to a server that asked for a back-off or
+//! announced that it is leaving, or refuses requests that another server would take. They come
+//! about through wrong times in answers, late rows of the server list, stalled groups and new
+//! incarnations. There are tests of single rules, and of a simulated fleet of gateways.
 
 mod notice_fleet;
 
@@ -19,12 +21,12 @@
 use hooktrestle_core::direct::server_notices::MAX_BACK_OFF;
 use hooktrestle_core::util::arena::Key;
 use notice_fleet::Fleet;
-use notice_fleet::Hears;
+use notice_fleet::NoticesApplied;
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Seeds of the model in CI.
+/// Number of seeds of the simulation.
 const SEEDS: u64 = 40;
 
 fn listed(id: &str, port: u16, started: Option<u64>) -> Listed {
@@ -83,7 +85,7 @@
     #[test]
     fn any_text_is_a_bounded_rest_or_none(text in "\\PC*") {
         let read = server_notices::parse_back_off(&text);
-        prop_assert!(read.is_none_or(|rest| rest > Millis::ZERO && rest <= MAX_BACK_OFF));
+        prop_assert!(read.is_none_or(|back_off| back_off > Millis::ZERO && back_off <= MAX_BACK_OFF));
     }
 }
 
@@ -97,10 +99,10 @@
         assert!(!pool.takes(a, Millis(now)));
     }
     assert!(pool.takes(a, Millis(3_100)));
-    assert_eq!(pool.all_bound_until("hints", Millis(201)), None, "one takes requests");
+    assert_eq!(pool.all_bound_until("hints", Millis(201)), None, "one server takes requests");
     pool.rest(b, Millis(9_000), Millis(200));
     assert_eq!(pool.all_bound_until("hints", Millis(201)), Some(Millis(3_100)));
-    assert_eq!(choose(&mut pool, 201), None, "nobody is a last resort");
+    assert_eq!(choose(&mut pool, 201), None, "no server is a last resort");
 }
 
 #[test]
@@ -115,11 +117,11 @@
     assert_eq!(
         choose(&mut pool, 200),
         Some(b),
-        "slow, unreachable, and the only one that is asked"
+        "slow, unreachable, and the only one without a back-off"
     );
     pool.unlist("a");
     pool.list(listed("a", 1, Some(5)), 9);
-    assert_eq!(choose(&mut pool, 300), Some(b), "its row went and came back");
+    assert_eq!(choose(&mut pool, 300), Some(b), "its row was removed and added again");
 }
 
 #[test]
@@ -130,10 +132,10 @@
     pool.leave(b);
     pool.list(listed("a", 1, Some(6)), 2);
     pool.list(listed("b", 2, Some(4)), 3);
-    let new = choose(&mut pool, 200).expect("its new life takes requests");
+    let new = choose(&mut pool, 200).expect("its new incarnation takes requests");
     assert!(new != a && pool.server(new).listed.id == "a");
     pool.list(listed("b", 2, Some(6)), 4);
-    assert!(pool.open().any(|server| server.id == "b"), "it leaves no more");
+    assert!(pool.open().any(|server| server.id == "b"), "the new incarnation is not leaving");
 }
 
 #[test]
@@ -142,28 +144,29 @@
     pool.rest(a, Millis(1_000), Millis(0));
     let mut at_once = Vec::new();
     for answers in 0..5 {
-        let mut most = 0;
+        let mut chosen_times = 0;
         let mut chosen = Vec::new();
         for number in 0..40 {
             let key = choose(&mut pool, 2_000 + 1_000 * answers + number).expect("both are there");
-            most += usize::from(key == a);
+            chosen_times += usize::from(key == a);
             chosen.push(key);
         }
-        at_once.push(most);
+        at_once.push(chosen_times);
         chosen
             .into_iter()
             .for_each(|key| pool.ended(key, Ending::Answered, Millis(2_100 + 1_000 * answers)));
         pool.took(a);
-        assert!(answers < 4 || most >= 8, "it has all its turns again");
+        assert!(answers < 4 || chosen_times >= 8, "it has its full share again");
     }
     assert_eq!(at_once[..3], [1, 2, 4]);
-    // Rather too many than a refusal, where no other server is left.
+    // If no other server is left, too many requests are better than a refusal.
     pool.rest(a, Millis(1_000), Millis(9_000));
     pool.rest(b, MAX_BACK_OFF, Millis(9_000));
     assert!((0..4).all(|number| choose(&mut pool, 10_001 + number) == Some(a)));
 }
 
-/// Each gateway alone sent one request at first; forty of them are a rush.
+/// Guards against a burst after a back-off: if each gateway by itself sends one request at first,
+/// forty gateways send forty at once.
 #[test]
 fn a_server_comes_back_to_few_requests_of_all_gateways_together() {
     const GATEWAYS: usize = 40;
@@ -176,19 +179,20 @@
         (0..GATEWAYS as u64).for_each(|from| permits.add_share(GatewayId(from), Millis(now)));
         let pool = &mut pools[now as usize % GATEWAYS];
         let chosen = choose(pool, now).expect("both are there");
-        let taken = match pool.take_permit(chosen, Millis(now)) {
+        let may_send = match pool.take_permit(chosen, Millis(now)) {
             Permission::Ask(wanted) => {
-                let rate = pool.returning(a, Millis(now)).expect("it comes back");
+                let ramp_up_rate = pool.returning(a, Millis(now)).expect("it ramps up");
                 let life = pool.life(chosen);
                 let first = 1.0;
                 let gateways = Some(GATEWAYS);
-                let given = permits.grant(life, rate, wanted, first, gateways, Millis(now));
-                pool.permits_given(chosen, given, Millis(now), Millis(now));
-                given.permits > 0 && pool.take_permit(chosen, Millis(now)) != Permission::None
+                let granted =
+                    permits.grant(life, ramp_up_rate, wanted, first, gateways, Millis(now));
+                pool.permits_given(chosen, granted, Millis(now), Millis(now));
+                granted.permits > 0 && pool.take_permit(chosen, Millis(now)) != Permission::None
             }
-            taken => taken != Permission::None,
+            may_send => may_send != Permission::None,
         };
-        if taken {
+        if may_send {
             sent[(now / 1_000 - 1) as usize] += usize::from(chosen == a);
             pool.ended(chosen, Ending::Answered, Millis(now));
             if chosen == a {
@@ -199,8 +203,8 @@
         }
     }
     assert!(sent[0] <= 3 && sent[1] <= 12, "{sent:?}");
-    assert!(sent[3] > 300, "it has all its turns again: {sent:?}");
-    // Rather too many than a refusal, where no other server is left.
+    assert!(sent[3] > 300, "it has its full share again: {sent:?}");
+    // If no other server is left, too many requests are better than a refusal.
     let pool = &mut pools[0];
     pool.rest(a, Millis(1_000), Millis(9_000));
     pool.rest(b, MAX_BACK_OFF, Millis(9_000));
@@ -214,16 +218,20 @@
 #[test]
 fn a_fleet_keeps_what_servers_ask_and_refuses_nothing_else() {
     for seed in 0..SEEDS {
-        let seen = Fleet::new(seed, Hears::All).play();
-        assert_eq!(seen.broken, Vec::<String>::new(), "seed {seed}");
-        assert!(seen.rests > 20 && seen.refused > 0 && seen.left > 0, "seed {seed}: {seen:?}");
+        let outcome = Fleet::new(seed, NoticesApplied::All).play();
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
+        assert!(
+            outcome.back_offs > 20 && outcome.refused > 0 && outcome.leaving_notices > 0,
+            "seed {seed}: {outcome:?}"
+        );
     }
 }
 
 #[test]
 fn the_model_finds_gateways_that_do_not_listen() {
-    for deaf in [Hears::NoRest, Hears::NoLeaving] {
-        let found = (0..SEEDS).filter(|seed| !Fleet::new(*seed, deaf).play().broken.is_empty());
-        assert_eq!(found.count() as u64, SEEDS, "{deaf:?}");
+    for applied in [NoticesApplied::NoBackOff, NoticesApplied::NoLeaving] {
+        let found =
+            (0..SEEDS).filter(|seed| !Fleet::new(*seed, applied).play().violations.is_empty());
+        assert_eq!(found.count() as u64, SEEDS, "{applied:?}");
     }
 }
--- a/crates/core/tests/broken_off.rs
+++ b/crates/core/tests/broken_off.rs
@@ -1,4 +1,6 @@
-//! Servers that crash while the platform's list is late: what is found to have been there.
+//! Guards against a wrong cause of a crash: a request is counted as present at a crash although it
+//! was sent to the server only afterwards. This comes about if the platform's server list is late,
+//! so that gateways send requests to crashed servers and get truncated answers.
 
 use std::collections::BTreeMap;
 
@@ -19,15 +21,16 @@
 const SERVERS: u64 = 6;
 const TICK: Millis = Millis(10);
 
-/// Time from the beginning, in which all servers but one crash, to an answer of that one.
-const WELL: Millis = Millis(2_000);
+/// Time from the beginning to an answer of the one server that does not crash; the others crash
+/// before.
+const COMPLETED_AFTER: Millis = Millis(2_000);
 
-/// A request that many callers send, and one that crashes each server which runs it.
+/// A request that many callers send, and one that crashes each server that runs it.
 const COMMON: Fingerprint = Fingerprint(1);
 const CULPRIT: Fingerprint = Fingerprint(2);
 
-/// One gateway that sends requests to servers, some of which crash while their rows stay: connections to them are taken,
-/// and carry nothing.
+/// One gateway that sends requests to servers. Servers crash while they stay listed: connections to
+/// them are accepted, and carry no data.
 struct Gateway {
     now: Millis,
     crashes: Crashes,
@@ -36,21 +39,21 @@
 }
 
 impl Gateway {
-    fn send(&mut self, fingerprint: Fingerprint, server: u64, lives: bool, stage: Stage) {
+    fn send(&mut self, fingerprint: Fingerprint, server: u64, is_up: bool, stage: Stage) {
         let (now, ran) = (self.now, Millis(self.rng.random_range(5..80)));
-        if lives && fingerprint != CULPRIT {
+        if is_up && fingerprint != CULPRIT {
             if let Some(broken) = self.broken.get_mut(&server) {
                 broken.record_answer(now - ran);
             }
             self.crashes.record_completed(fingerprint, now);
             return;
         }
-        let stage = if lives { stage } else { Stage::Waiting };
+        let stage = if is_up { stage } else { Stage::Waiting };
         let broken = self.broken.entry(server).or_default();
         broken.add(Suspect { fingerprint, ran, stage }, now);
     }
 
-    /// The list comes, without the rows of these.
+    /// A new server list arrives, without these servers.
     fn unlist(&mut self, servers: &[u64]) {
         for server in servers {
             let Some(broken) = self.broken.get_mut(server) else { continue };
@@ -65,8 +68,9 @@
     }
 }
 
-/// Guards against a request that many callers send being taken for one that crashes servers: it is sent to several that
-/// crashed while the store was away, and breaks off at each until all their rows go at one moment.
+/// Guards against refusing a request that many callers send. It is sent to several servers that
+/// crashed while the store was unavailable, and its answers are truncated at each, until all these
+/// servers disappear from the list at the same time.
 #[test]
 fn what_is_sent_to_servers_that_have_crashed_before_did_not_crash_them() {
     for seed in 0..40 {
@@ -85,24 +89,25 @@
                     gateway.send(CULPRIT, server, true, Stage::Running);
                 }
             }
-            // Once all have crashed, it ends well at the one that is left, and is sent to the others for long.
-            if now == begin + WELL {
+            // After all crashes, the request completes at the remaining server, and is sent to the
+            // crashed ones for a long time.
+            if now == begin + COMPLETED_AFTER {
                 gateway.send(COMMON, 0, true, Stage::Running);
             }
             if gateway.rng.random_range(0..4) == 0 {
                 let server = gateway.rng.random_range(1..SERVERS);
-                let lives = now < crash_at[server as usize - 1];
-                gateway.send(COMMON, server, lives, Stage::Running);
+                let is_up = now < crash_at[server as usize - 1];
+                gateway.send(COMMON, server, is_up, Stage::Running);
             }
         }
-        let gone: Vec<u64> = (1..SERVERS).collect();
-        gateway.unlist(&gone);
+        let crashed: Vec<u64> = (1..SERVERS).collect();
+        gateway.unlist(&crashed);
         let refused = gateway.crashes.refused_for(COMMON, gateway.now);
-        assert_eq!(refused, None, "seed {seed}: a request that ended well after each crash");
+        assert_eq!(refused, None, "seed {seed}: a request that completed after each crash");
     }
 }
 
-/// Guards against a crash that is dated by the last answers that broke off there, once the first are forgotten.
+/// Guards against a crash time taken from the last truncated answers, once the first are removed.
 #[test]
 fn a_crash_is_dated_by_the_first_answer_that_broke_off_since_the_server_lived() {
     let mut broken = TruncatedAnswers::default();
@@ -119,5 +124,5 @@
     }
     let (crashed_at, there) = broken.confirm_crash();
     assert_eq!(crashed_at, Millis(2_000));
-    assert!(there.is_empty(), "the one that was there is forgotten: {there:?}");
+    assert!(there.is_empty(), "the request that was there is no longer stored: {there:?}");
 }
--- a/crates/core/tests/notice_fleet/mod.rs
+++ b/crates/core/tests/notice_fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A model of gateways before servers in groups, in simulated time: requests, answers and rows of the list take time on
-//! their way, and rows may overtake each other. What was asked is kept a second time, as a plain list, and looked
-//! through for each request.
+//! Simulation of gateways that send requests to servers in groups, for `tests/asked.rs`. Requests,
+//! answers and rows of the server list have delays, and rows may overtake each other. The received
+//! notices are stored a second time, as a plain list, which each request is checked against.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,87 +23,87 @@
 const GROUP: usize = 4;
 const LENGTH_MS: u64 = 40_000;
 
-/// Longest way of a request or an answer, and of a row of the list.
-const MOST_WAY_MS: u64 = 40;
-const MOST_ROW_MS: u64 = 900;
+/// Maximum delay of a request or an answer, and of a row of the server list.
+const MAX_TRANSIT_MS: u64 = 40;
+const MAX_ROW_DELAY_MS: u64 = 900;
 
-/// The users' rule counts from so long after a server has asked.
+/// The users' rule counts from this time after a notice of a server.
 const GRACE: Millis = Millis(500);
 
-/// What servers tell for a time, odd values among them.
-const TOLD: [&str; 9] = ["3", "0.4", "1.5", "2", "-1", "soon", "1e400", "0", "6"];
+/// Times that servers send with a back-off; some are invalid.
+const BACK_OFF_TEXTS: [&str; 9] = ["3", "0.4", "1.5", "2", "-1", "soon", "1e400", "0", "6"];
 
 const SERVICE: &str = "hints";
 
-/// What gateways hear of what servers ask; all, but where the model itself is tested.
+/// Which notices of servers the gateways apply: all, except in tests of the simulation itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Hears {
+pub enum NoticesApplied {
     All,
-    NoRest,
+    NoBackOff,
     NoLeaving,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    pub broken: Vec<String>,
-    pub rests: usize,
+pub struct Outcome {
+    pub violations: Vec<String>,
+    pub back_offs: usize,
     pub refused: usize,
-    pub left: usize,
+    pub leaving_notices: usize,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
     Request { gateway: usize },
-    Arrives { gateway: usize, server: usize, life: u64, sent: u64 },
-    Answers { gateway: usize, server: usize, life: u64, says: Says },
-    Row { gateway: usize, server: usize, life: u64, slots: u32 },
-    Moods,
+    Arrives { gateway: usize, server: usize, incarnation: u64, sent: u64 },
+    Answers { gateway: usize, server: usize, incarnation: u64, content: AnswerContent },
+    Row { gateway: usize, server: usize, incarnation: u64, slots: u32 },
+    StateChange,
 }
 
-/// An answer, as a gateway reads it.
+/// Content of an answer, as a gateway reads it.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Says {
+struct AnswerContent {
     refuses: bool,
-    /// Index in [`TOLD`].
-    rest: Option<usize>,
+    /// Index in [`BACK_OFF_TEXTS`].
+    back_off: Option<usize>,
     leaves: bool,
 }
 
-/// A server as it is.
+/// Actual state of a server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Real {
-    life: u64,
+struct ServerState {
+    incarnation: u64,
     sheds: bool,
     leaves: bool,
 }
 
-/// Something that a gateway has heard a server ask.
+/// A notice that a gateway has received from a server.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ReceivedNotice {
     gateway: usize,
     server: usize,
-    life: u64,
-    heard: Millis,
-    /// `None`: for good.
+    incarnation: u64,
+    received: Millis,
+    /// `None`: without end.
     until: Option<Millis>,
 }
 
 pub struct Fleet {
     rng: ChaCha8Rng,
-    hears: Hears,
+    applied: NoticesApplied,
     pools: Vec<Pool>,
-    real: Vec<Real>,
-    standing: Vec<bool>,
-    /// The life of each server that each gateway has heard of.
+    actual: Vec<ServerState>,
+    stalled: Vec<bool>,
+    /// The incarnation of each server that each gateway knows.
     known: Vec<[u64; SERVERS]>,
-    heard: Vec<Heard>,
+    received: Vec<ReceivedNotice>,
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
-    counted: u64,
-    seen: Seen,
+    event_count: u64,
+    outcome: Outcome,
 }
 
-fn listed(server: usize, life: u64, slots: u32) -> Listed {
+fn listed(server: usize, incarnation: u64, slots: u32) -> Listed {
     Listed {
         id: format!("s{server}"),
         service: SERVICE.to_owned(),
@@ -111,7 +111,7 @@
         data_centre: String::new(),
         slots,
         leaving: false,
-        started_unix_ms: Some(life),
+        started_unix_ms: Some(incarnation),
     }
 }
 
@@ -120,96 +120,105 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, hears: Hears) -> Fleet {
+    pub fn new(seed: u64, applied: NoticesApplied) -> Fleet {
         let mut pools = vec![Pool::new(pool::Config::default()); GATEWAYS];
         for pool in &mut pools {
             (0..SERVERS).for_each(|server| pool.list(listed(server, 1, 6), 1));
         }
         let mut fleet = Fleet {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            hears,
+            applied,
             pools,
-            real: vec![Real { life: 1, ..Real::default() }; SERVERS],
-            standing: vec![false; SERVERS / GROUP],
+            actual: vec![ServerState { incarnation: 1, ..ServerState::default() }; SERVERS],
+            stalled: vec![false; SERVERS / GROUP],
             known: vec![[1; SERVERS]; GATEWAYS],
-            heard: Vec::new(),
+            received: Vec::new(),
             events: BinaryHeap::new(),
-            counted: 0,
-            seen: Seen::default(),
+            event_count: 0,
+            outcome: Outcome::default(),
         };
         for at in (0..LENGTH_MS).step_by(5) {
             let gateway = fleet.rng.random_range(0..GATEWAYS);
             fleet.at(Millis(at), Event::Request { gateway });
         }
-        (0..LENGTH_MS).step_by(500).for_each(|at| fleet.at(Millis(at), Event::Moods));
+        (0..LENGTH_MS).step_by(500).for_each(|at| fleet.at(Millis(at), Event::StateChange));
         fleet
     }
 
-    /// Plays it to its end.
-    pub fn play(mut self) -> Seen {
+    /// Runs the simulation to its end.
+    pub fn play(mut self) -> Outcome {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             match event {
                 Event::Request { gateway } => self.request(gateway, now),
-                Event::Arrives { gateway, server, life, sent } => {
-                    self.arrives(gateway, server, life, Millis(sent), now);
+                Event::Arrives { gateway, server, incarnation, sent } => {
+                    self.arrives(gateway, server, incarnation, Millis(sent), now);
                 }
-                Event::Answers { gateway, server, life, says } => {
-                    self.answers(gateway, server, life, says, now);
+                Event::Answers { gateway, server, incarnation, content } => {
+                    self.answers(gateway, server, incarnation, content, now);
                 }
-                Event::Row { gateway, server, life, slots } => {
-                    self.pools[gateway].list(listed(server, life, slots), now.0);
+                Event::Row { gateway, server, incarnation, slots } => {
+                    self.pools[gateway].list(listed(server, incarnation, slots), now.0);
                     let known = &mut self.known[gateway][server];
-                    *known = life.max(*known);
+                    *known = incarnation.max(*known);
                 }
-                Event::Moods => self.change_moods(now),
+                Event::StateChange => self.change_states(now),
             }
         }
-        self.seen
+        self.outcome
     }
 
     fn at(&mut self, at: Millis, event: Event) {
-        self.counted += 1;
-        self.events.push(Reverse((at, self.counted, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
-    fn later(&mut self, now: Millis, most: u64, event: Event) {
-        let way = Millis(self.rng.random_range(1..=most));
-        self.at(now + way, event);
+    fn later(&mut self, now: Millis, max_delay_ms: u64, event: Event) {
+        let transit = Millis(self.rng.random_range(1..=max_delay_ms));
+        self.at(now + transit, event);
     }
 
-    fn change_moods(&mut self, now: Millis) {
+    fn change_states(&mut self, now: Millis) {
         let all_shed = self.rng.random_bool(0.08);
         for server in 0..SERVERS {
-            let real = &mut self.real[server];
-            real.sheds = all_shed || self.rng.random_bool(0.3);
-            real.leaves |= self.rng.random_bool(0.01);
+            let actual = &mut self.actual[server];
+            actual.sheds = all_shed || self.rng.random_bool(0.3);
+            actual.leaves |= self.rng.random_bool(0.01);
             if self.rng.random_bool(0.02) {
-                *real = Real { life: real.life + 1, ..Real::default() };
+                *actual =
+                    ServerState { incarnation: actual.incarnation + 1, ..ServerState::default() };
             }
-            // Rows come late, one before the other, and say nothing of leaving.
-            let (life, slots) = (self.real[server].life, self.rng.random_range(4..9));
+            // Rows arrive late and out of order, and do not show that a server is leaving.
+            let (incarnation, slots) =
+                (self.actual[server].incarnation, self.rng.random_range(4..9));
             for gateway in 0..GATEWAYS {
-                self.later(now, MOST_ROW_MS, Event::Row { gateway, server, life, slots });
+                self.later(
+                    now,
+                    MAX_ROW_DELAY_MS,
+                    Event::Row { gateway, server, incarnation, slots },
+                );
             }
         }
-        for group in 0..self.standing.len() {
-            self.standing[group] = self.rng.random_bool(0.1);
+        for group in 0..self.stalled.len() {
+            self.stalled[group] = self.rng.random_bool(0.1);
             for gateway in 0..GATEWAYS {
                 for server in group * GROUP..(group + 1) * GROUP {
                     let pool = &mut self.pools[gateway];
                     let keys = pool.present_of(SERVICE);
                     let key = keys.into_iter().find(|key| number(pool, *key) == server);
-                    pool.set_standing(key.expect("listed"), self.standing[group]);
+                    pool.set_standing(key.expect("listed"), self.stalled[group]);
                 }
             }
         }
     }
 
-    /// What binds a gateway towards a server, by the plain list.
-    fn bound_until(&self, gateway: usize, server: usize, now: Millis) -> Option<Millis> {
-        let life = self.known[gateway][server];
-        let bound = self.heard.iter().filter(|one| {
-            one.gateway == gateway && one.server == server && one.life == life && one.heard <= now
+    /// Until when a gateway may send a server nothing, by the plain list.
+    fn notice_ends_at(&self, gateway: usize, server: usize, now: Millis) -> Option<Millis> {
+        let incarnation = self.known[gateway][server];
+        let bound = self.received.iter().filter(|one| {
+            one.gateway == gateway
+                && one.server == server
+                && one.incarnation == incarnation
+                && one.received <= now
         });
         let ends = bound.map(|one| one.until.unwrap_or(Millis::MAX));
         ends.filter(|until| *until > now).max()
@@ -218,86 +227,118 @@
     fn request(&mut self, gateway: usize, now: Millis) {
         let pool = &mut self.pools[gateway];
         let chosen = pool.choose(SERVICE, &[], 1.0, now, &mut self.rng);
-        let told = pool.all_bound_until(SERVICE, now);
-        let Some(key) = chosen else { return self.refused(gateway, told, now) };
+        let reported = pool.all_bound_until(SERVICE, now);
+        let Some(key) = chosen else { return self.refused(gateway, reported, now) };
         let server = number(pool, key);
-        if !pool.takes(key, now) || told.is_some() {
-            self.broken(now, format!("gateway {gateway} chooses s{server}, and {told:?}"));
+        if !pool.takes(key, now) || reported.is_some() {
+            self.add_violation(
+                now,
+                format!("gateway {gateway} chooses s{server}, and {reported:?}"),
+            );
         }
-        if let Some(until) = self.bound_until(gateway, server, now) {
-            self.broken(now, format!("gateway {gateway} sends to s{server}, bound until {until}"));
+        if let Some(until) = self.notice_ends_at(gateway, server, now) {
+            self.add_violation(
+                now,
+                format!("gateway {gateway} sends to s{server}, bound until {until}"),
+            );
         }
-        let life = self.known[gateway][server];
-        self.later(now, MOST_WAY_MS, Event::Arrives { gateway, server, life, sent: now.0 });
+        let incarnation = self.known[gateway][server];
+        self.later(
+            now,
+            MAX_TRANSIT_MS,
+            Event::Arrives { gateway, server, incarnation, sent: now.0 },
+        );
     }
 
-    /// Refusals are for want of servers alone, and name the end of the first rest.
-    fn refused(&mut self, gateway: usize, told: Option<Millis>, now: Millis) {
-        self.seen.refused += 1;
+    /// A request is refused only if no server is left; the refusal gives the end of the first
+    /// back-off.
+    fn refused(&mut self, gateway: usize, reported: Option<Millis>, now: Millis) {
+        self.outcome.refused += 1;
         let mut first = None;
         for server in 0..SERVERS {
-            match self.bound_until(gateway, server, now) {
-                None if self.standing[server / GROUP] => {}
-                None => {
-                    self.broken(now, format!("gateway {gateway} refuses, and s{server} is free"))
-                }
+            match self.notice_ends_at(gateway, server, now) {
+                None if self.stalled[server / GROUP] => {}
+                None => self.add_violation(
+                    now,
+                    format!("gateway {gateway} refuses, and s{server} is free"),
+                ),
                 Some(Millis::MAX) => {}
                 Some(until) => first = Some(first.map_or(until, |first| until.min(first))),
             }
         }
-        if told != first {
-            self.broken(now, format!("gateway {gateway} tells {told:?}, and it is {first:?}"));
+        if reported != first {
+            self.add_violation(
+                now,
+                format!("gateway {gateway} reports {reported:?}, and it is {first:?}"),
+            );
         }
     }
 
-    fn arrives(&mut self, gateway: usize, server: usize, life: u64, sent: Millis, now: Millis) {
-        let real = self.real[server];
-        // The users' rule, as a server sees it: by when it asked, not by when that was heard.
-        let late = self.heard.iter().any(|one| {
-            let asked = (one.gateway, one.server, one.life) == (gateway, server, real.life);
+    fn arrives(
+        &mut self,
+        gateway: usize,
+        server: usize,
+        incarnation: u64,
+        sent: Millis,
+        now: Millis,
+    ) {
+        let actual = self.actual[server];
+        // The users' rule as the server observes it: by the time of its notice, not of its receipt.
+        let late = self.received.iter().any(|one| {
+            let asked =
+                (one.gateway, one.server, one.incarnation) == (gateway, server, actual.incarnation);
             let rests = one.until.is_some_and(|until| sent < until);
-            asked && rests && one.heard + GRACE < sent
+            asked && rests && one.received + GRACE < sent
         });
-        if late && life == real.life {
-            self.broken(now, format!("s{server} is sent a request by gateway {gateway}"));
+        if late && incarnation == actual.incarnation {
+            self.add_violation(now, format!("s{server} is sent a request by gateway {gateway}"));
         }
-        let stands = self.standing[server / GROUP];
-        let rest = real.sheds.then(|| self.rng.random_range(0..TOLD.len()));
-        let says = Says { refuses: stands || real.sheds, rest, leaves: real.leaves };
-        self.later(now, MOST_WAY_MS, Event::Answers { gateway, server, life, says });
+        let is_stalled = self.stalled[server / GROUP];
+        let back_off = actual.sheds.then(|| self.rng.random_range(0..BACK_OFF_TEXTS.len()));
+        let content =
+            AnswerContent { refuses: is_stalled || actual.sheds, back_off, leaves: actual.leaves };
+        self.later(now, MAX_TRANSIT_MS, Event::Answers { gateway, server, incarnation, content });
     }
 
-    fn answers(&mut self, gateway: usize, server: usize, life: u64, says: Says, now: Millis) {
+    fn answers(
+        &mut self,
+        gateway: usize,
+        server: usize,
+        incarnation: u64,
+        content: AnswerContent,
+        now: Millis,
+    ) {
         let pool = &mut self.pools[gateway];
         let keys = pool.present_of(SERVICE);
         let key = keys.into_iter().find(|key| number(pool, *key) == server).expect("listed");
-        if self.known[gateway][server] != life {
-            // Of a life that is over; nothing is known by its name any more.
+        if self.known[gateway][server] != incarnation {
+            // From a previous incarnation, which the gateway no longer knows.
             return;
         }
-        pool.ended(key, if says.refuses { Ending::Full } else { Ending::Answered }, now);
-        if !says.refuses {
+        pool.ended(key, if content.refuses { Ending::Full } else { Ending::Answered }, now);
+        if !content.refuses {
             pool.took(key);
         }
-        let heard = Heard { gateway, server, life, heard: now, until: None };
-        if let Some(span) = says.rest.and_then(|index| server_notices::parse_back_off(TOLD[index]))
+        let received = ReceivedNotice { gateway, server, incarnation, received: now, until: None };
+        if let Some(span) =
+            content.back_off.and_then(|index| server_notices::parse_back_off(BACK_OFF_TEXTS[index]))
         {
-            self.seen.rests += 1;
-            self.heard.push(Heard { until: Some(now + span), ..heard });
-            if self.hears != Hears::NoRest {
+            self.outcome.back_offs += 1;
+            self.received.push(ReceivedNotice { until: Some(now + span), ..received });
+            if self.applied != NoticesApplied::NoBackOff {
                 self.pools[gateway].rest(key, span, now);
             }
         }
-        if says.leaves {
-            self.seen.left += 1;
-            self.heard.push(heard);
-            if self.hears != Hears::NoLeaving {
+        if content.leaves {
+            self.outcome.leaving_notices += 1;
+            self.received.push(received);
+            if self.applied != NoticesApplied::NoLeaving {
                 self.pools[gateway].leave(key);
             }
         }
     }
 
-    fn broken(&mut self, now: Millis, what: String) {
-        self.seen.broken.push(format!("{now}: {what}"));
+    fn add_violation(&mut self, now: Millis, what: String) {
+        self.outcome.violations.push(format!("{now}: {what}"));
     }
 }
