--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/named_limit.rs
@@ -1,5 +1,7 @@
-//! What servers name as their limit: numbers that make sense and that do not, answers out of order, and a fleet of
-//! gateways that hold themselves to it together.
+//! Guards against two failures: gateways together send a server more requests than its advertised
+//! limit, or far fewer. They come about through wrong numbers, answers out of order, several
+//! gateways that grant permits at once, and processes that are suspended or restart. There are
+//! tests of single rules, and of a simulated fleet of gateways.
 
 mod permit_fleet;
 
@@ -24,23 +26,23 @@
 use hooktrestle_core::id::RequestId;
 use hooktrestle_core::once;
 use permit_fleet::Fleet;
-use permit_fleet::Kept;
 use permit_fleet::Play;
+use permit_fleet::Sharing;
 use proptest::prelude::*;
 
-/// Seeds of the model in CI.
+/// Number of seeds of the simulation.
 const SEEDS: u64 = 40;
 
 const LIMITS: [f64; 7] = [0.0, 0.3, 1.3, 7.7, 33.3, 250.0, 1e6];
 
-fn said(limit: Option<u64>, earliest: u64, latest: u64) -> LimitAdvertisement {
+fn advertisement(limit: Option<u64>, earliest: u64, latest: u64) -> LimitAdvertisement {
     let limit = limit.map(|in_1000_s| Rate { in_1000_s });
     LimitAdvertisement { limit, earliest: Millis(earliest), latest: Millis(latest) }
 }
 
-fn limited(in_1000_s: u64) -> AdvertisedLimit {
+fn with_limit(in_1000_s: u64) -> AdvertisedLimit {
     let mut limited = AdvertisedLimit::default();
-    assert_eq!(limited.apply(said(Some(in_1000_s), 100, 110)), LimitMergeOutcome::Urgent);
+    assert_eq!(limited.apply(advertisement(Some(in_1000_s), 100, 110)), LimitMergeOutcome::Urgent);
     limited
 }
 
@@ -80,68 +82,88 @@
         limits in prop::collection::vec(prop::option::of(0_u64..5_000), 1..6),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
-        // Each was said after the one before it was heard.
+        // Each was advertised after the one before was received.
         let all: Vec<LimitAdvertisement> = limits
             .iter()
             .enumerate()
-            .map(|(number, limit)| said(*limit, 100 * number as u64, 100 * number as u64 + 50))
+            .map(|(number, limit)| advertisement(*limit, 100 * number as u64, 100 * number as u64 + 50))
             .collect();
-        let mut heard = AdvertisedLimit::default();
+        let mut limit_state = AdvertisedLimit::default();
         let known = all.iter().find(|one| one.limit.is_some());
         if let Some(first) = known {
-            heard.apply(*first);
+            limit_state.apply(*first);
         }
         for index in &order {
-            heard.apply(*index.get(&all));
+            limit_state.apply(*index.get(&all));
         }
-        heard.apply(all[all.len() - 1]);
+        limit_state.apply(all[all.len() - 1]);
         for index in &order {
-            heard.apply(*index.get(&all));
+            limit_state.apply(*index.get(&all));
         }
-        prop_assert_eq!(heard.limit(), all[all.len() - 1].limit);
+        prop_assert_eq!(limit_state.limit(), all[all.len() - 1].limit);
     }
 }
 
 #[test]
 fn of_answers_that_overtake_each_other_the_lower_limit_binds() {
-    let mut one = limited(1_000);
+    let mut one = with_limit(1_000);
     assert_eq!(
-        one.apply(said(Some(4_000), 105, 130)),
+        one.apply(advertisement(Some(4_000), 105, 130)),
         LimitMergeOutcome::Unchanged,
         "it may be older"
     );
-    assert_eq!(one.apply(said(None, 105, 130)), LimitMergeOutcome::Unchanged);
+    assert_eq!(one.apply(advertisement(None, 105, 130)), LimitMergeOutcome::Unchanged);
     assert_eq!(one.limit(), Some(Rate { in_1000_s: 1_000 }));
-    assert_eq!(one.apply(said(Some(400), 90, 120)), LimitMergeOutcome::Urgent, "it may be newer");
-    assert_eq!(one.apply(said(Some(4_000), 120, 140)), LimitMergeOutcome::Changed, "it is newer");
-    assert_eq!(one.apply(said(Some(400), 90, 110)), LimitMergeOutcome::Unchanged, "it is older");
-    assert_eq!(one.apply(said(None, 150, 160)), LimitMergeOutcome::Changed);
+    assert_eq!(
+        one.apply(advertisement(Some(400), 90, 120)),
+        LimitMergeOutcome::Urgent,
+        "it may be newer"
+    );
+    assert_eq!(
+        one.apply(advertisement(Some(4_000), 120, 140)),
+        LimitMergeOutcome::Changed,
+        "it is newer"
+    );
+    assert_eq!(
+        one.apply(advertisement(Some(400), 90, 110)),
+        LimitMergeOutcome::Unchanged,
+        "it is older"
+    );
+    assert_eq!(one.apply(advertisement(None, 150, 160)), LimitMergeOutcome::Changed);
     assert_eq!(one.take(None, Millis(170)), Permission::Free);
-    assert_eq!(one.apply(said(Some(400), 90, 110)), LimitMergeOutcome::Unchanged, "it is older");
+    assert_eq!(
+        one.apply(advertisement(Some(400), 90, 110)),
+        LimitMergeOutcome::Unchanged,
+        "it is older"
+    );
 }
 
 #[test]
 fn permits_are_asked_for_once_and_good_for_a_moment() {
-    let mut one = limited(1_000);
+    let mut one = with_limit(1_000);
     assert_eq!(one.take(None, Millis(200)), Permission::Ask(1));
-    assert_eq!(one.take(None, Millis(201)), Permission::None, "an answer is waited for");
+    assert_eq!(one.take(None, Millis(201)), Permission::None, "an answer is awaited");
     one.apply_grant(2, Millis::ZERO, Millis(200), Millis(203));
-    let good_until = Millis(200) + PERMIT_VALIDITY;
-    assert_eq!(one.take(None, Millis(204)), Permission::Until(good_until));
+    let valid_until = Millis(200) + PERMIT_VALIDITY;
+    assert_eq!(one.take(None, Millis(204)), Permission::Until(valid_until));
     assert_eq!(
-        one.take(None, good_until),
+        one.take(None, valid_until),
         Permission::Ask(1),
-        "nothing is saved up, asleep or not"
+        "permits do not accumulate, also not during a suspension"
     );
-    one.apply_grant(0, Millis(3), good_until, good_until);
-    assert_eq!(one.take(None, good_until + Millis(19)), Permission::None);
-    assert_eq!(one.take(None, good_until + Millis(20)), Permission::Ask(1));
-    one.apply_grant(0, Millis(1_800), good_until, good_until);
-    let told = one.blocked_until(good_until + Millis(499));
-    assert_eq!(told, Some(good_until + Millis(1_800)), "callers are told when there is one");
-    assert_eq!(one.take(None, good_until + Millis(500)), Permission::Ask(1), "it may come sooner");
-    // No answer ever came.
-    assert_eq!(one.take(None, good_until + Millis(5_000)), Permission::Ask(1));
+    one.apply_grant(0, Millis(3), valid_until, valid_until);
+    assert_eq!(one.take(None, valid_until + Millis(19)), Permission::None);
+    assert_eq!(one.take(None, valid_until + Millis(20)), Permission::Ask(1));
+    one.apply_grant(0, Millis(1_800), valid_until, valid_until);
+    let expected_at = one.blocked_until(valid_until + Millis(499));
+    assert_eq!(
+        expected_at,
+        Some(valid_until + Millis(1_800)),
+        "callers are told the time of the next permit"
+    );
+    assert_eq!(one.take(None, valid_until + Millis(500)), Permission::Ask(1), "it may come sooner");
+    // No answer arrived.
+    assert_eq!(one.take(None, valid_until + Millis(5_000)), Permission::Ask(1));
 }
 
 #[test]
@@ -149,7 +171,7 @@
     let mut one = Permits::new(Millis::ZERO);
     assert!(
         !one.delegate_share(LifeId(1), Millis(100)),
-        "the process before may have handed it over"
+        "the previous process may have delegated it"
     );
     assert!(one.delegate_share(LifeId(1), Millis(3_000)));
     assert!(one.delegate_share(LifeId(1), Millis(4_000)));
@@ -165,17 +187,18 @@
         permits.grant(server, limit, 1_000, 0.0, Some(4), Millis(now)).permits
     };
     assert_eq!(grant(&mut one, 0), 0);
-    assert_eq!(grant(&mut one, 60_000 - 1), 0, "nobody has handed it a part");
+    assert_eq!(grant(&mut one, 60_000 - 1), 0, "no share is delegated to it");
     for from in 0..2 {
         one.add_share(GatewayId(from), Millis(60_000));
     }
     assert_eq!(grant(&mut one, 60_500), 2, "half of 8 a second");
     assert_eq!(grant(&mut one, 61_900), 2, "one, and a quarter of a second's worth");
-    assert_eq!(grant(&mut one, 62_000), 0, "they have handed it over for no longer");
+    assert_eq!(grant(&mut one, 62_000), 0, "the delegations have expired");
 }
 
-/// Requests of one gateway to a sidecar whose server named a limit at 0: one each so many ms, with this deadline. Returns
-/// when each was started, and how many were refused at once.
+/// Requests of one gateway to a sidecar whose server advertised a limit at time 0: one request per
+/// `every_ms`, with this deadline. Returns when each was started, and how many were refused at
+/// once.
 fn paced(in_1000_s: u64, every_ms: u64, deadline: Millis) -> (Vec<u64>, usize) {
     let config = dispatch::Config {
         most_running: 100,
@@ -185,7 +208,7 @@
     };
     let mut sidecar = Dispatcher::new(config, 1);
     let Linking::Open(link, _) = sidecar.link(Millis(0), 1, 1, 1) else { panic!("it opens") };
-    sidecar.hear_limit(said(Some(in_1000_s), 0, 0));
+    sidecar.hear_limit(advertisement(Some(in_1000_s), 0, 0));
     let (mut started, mut refused) = (Vec::new(), 0);
     for now in 0..60_000 {
         if now % every_ms == 0 {
@@ -217,15 +240,15 @@
 
 #[test]
 fn a_sidecar_starts_what_its_server_takes_and_refuses_at_once_what_would_wait_too_long() {
-    for (in_1000_s, a_minute) in [(2_000, 120), (300, 18), (0, 6)] {
+    for (in_1000_s, per_minute) in [(2_000, 120), (300, 18), (0, 6)] {
         let (started, refused) = paced(in_1000_s, 100, Millis(4_000));
         let within =
             |from: u64| started.iter().filter(move |at| (from..from + 4_000).contains(*at));
-        let most = 1.25 * in_1000_s as f64 * 4.0 / 1_000.0 + 1.0;
-        assert!(started.iter().all(|at| within(*at).count() as f64 <= most), "{in_1000_s}");
-        let fewest = a_minute * 3 / 4;
-        assert!(started.len() >= fewest && started.len() <= a_minute + 1, "{}", started.len());
-        assert!(started.len() + refused >= 540, "what waits is little: {refused} were refused");
+        let allowed = 1.25 * in_1000_s as f64 * 4.0 / 1_000.0 + 1.0;
+        assert!(started.iter().all(|at| within(*at).count() as f64 <= allowed), "{in_1000_s}");
+        let fewest = per_minute * 3 / 4;
+        assert!(started.len() >= fewest && started.len() <= per_minute + 1, "{}", started.len());
+        assert!(started.len() + refused >= 540, "few requests wait: {refused} were refused");
     }
 }
 
@@ -234,10 +257,16 @@
     for seed in 0..SEEDS {
         let gateways = [1, 3, 7, 40][seed as usize % 4];
         let limit = LIMITS[seed as usize % LIMITS.len()];
-        for at_one in [false, true] {
-            let play = Play { gateways, limit, at_one, troubles: true, kept: Kept::Together };
-            let broken = Fleet::new(seed, play).play().broken();
-            assert_eq!(broken, Vec::<String>::new(), "seed {seed}, {play:?}");
+        for demand_at_one in [false, true] {
+            let play = Play {
+                gateways,
+                limit,
+                demand_at_one,
+                disturbances: true,
+                sharing: Sharing::Together,
+            };
+            let violations = Fleet::new(seed, play).play().violations();
+            assert_eq!(violations, Vec::<String>::new(), "seed {seed}, {play:?}");
         }
     }
 }
@@ -246,11 +275,17 @@
 fn what_is_allowed_is_used_also_where_one_gateway_has_all_the_demand() {
     for (seed, limit) in LIMITS.into_iter().enumerate() {
         for gateways in [1, 3, 7, 40] {
-            for at_one in [false, true] {
-                let play = Play { gateways, limit, at_one, troubles: false, kept: Kept::Together };
+            for demand_at_one in [false, true] {
+                let play = Play {
+                    gateways,
+                    limit,
+                    demand_at_one,
+                    disturbances: false,
+                    sharing: Sharing::Together,
+                };
                 let used = Fleet::new(seed as u64, play).play();
-                assert_eq!(used.broken(), Vec::<String>::new(), "{play:?}");
-                // Nobody asks for more than 1,000 a second here.
+                assert_eq!(used.violations(), Vec::<String>::new(), "{play:?}");
+                // The demand is at most 1,000 requests per second here.
                 let asked = limit.min(1_000.0);
                 let used = used.used_per_s();
                 assert!(used >= 0.75 * asked, "{play:?}: {used} a second");
@@ -262,8 +297,9 @@
 #[test]
 fn the_model_finds_gateways_that_each_allow_the_whole() {
     for seed in 0..SEEDS {
-        let kept = Kept::EachTheWhole;
-        let play = Play { gateways: 7, limit: 1.3, at_one: false, troubles: false, kept };
-        assert!(!Fleet::new(seed, play).play().broken().is_empty(), "seed {seed}");
+        let sharing = Sharing::EachTheWhole;
+        let play =
+            Play { gateways: 7, limit: 1.3, demand_at_one: false, disturbances: false, sharing };
+        assert!(!Fleet::new(seed, play).play().violations().is_empty(), "seed {seed}");
     }
 }
