--- a/crates/core/src/direct/crashes.rs
+++ b/crates/core/src/direct/crashes.rs
@@ -496,7 +496,7 @@
     /// Determines which requests are refused, crash by crash from the oldest on. A request that was
     /// at enough crashes explains all crashes at which it was, and they do not count against the
     /// other requests there. Of several requests at the same crashes, the one with the shortest run
-    /// time is the cause: the others had usually been there before it.
+    /// time is taken as the cause: the others had usually been there before it.
     fn update_refused(&mut self, now: Millis) {
         let merged = self.merged(now);
         let mut by_age: Vec<(&ServerIncarnation, &Merged)> = merged.iter().collect();
--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/named_limit.rs
@@ -159,7 +159,7 @@
     assert_eq!(
         expected_at,
         Some(valid_until + Millis(1_800)),
-        "callers are told the time of the next permit"
+        "callers get the time of the next permit"
     );
     assert_eq!(one.take(None, valid_until + Millis(500)), Permission::Ask(1), "it may come sooner");
     // No answer arrived.
