--- a/crates/core/tests/notice_fleet/mod.rs
+++ b/crates/core/tests/notice_fleet/mod.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 
 use hooktrestle_core::clock::Millis;
+use hooktrestle_core::direct::pool;
 use hooktrestle_core::direct::pool::AttemptOutcome;
 use hooktrestle_core::direct::pool::ListedServer;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
-use hooktrestle_core::direct::pool;
 use hooktrestle_core::direct::server_notices;
 use hooktrestle_core::util::arena::Key;
 use rand::RngExt;
