--- a/crates/core/src/acceptance.rs
+++ b/crates/core/src/acceptance.rs
@@ -1,8 +1,10 @@
-//! Edited rows to the next configuration.
+//! Merges rows that operators edited into the next configuration.
+//! Input: the snapshot in force and the edited rows. No state between calls.
+//! Decides which edits take effect and which are left out, with the fault of each.
 //!
-//! A configuration is a snapshot that was checked whole. Rows that cannot be part of one are left
-//! as they were in the version before, and their faults are reported; the others go ahead, so one
-//! operator's slip holds up nobody else.
+//! A configuration is a snapshot that was validated as a whole. Rows that cannot be part of one
+//! remain as in the version before, and their faults are reported. The other edits take effect, so
+//! one operator's mistake does not block the edits of others.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,34 +19,34 @@
 use crate::rows::RowKind;
 use crate::rows::RowName;
 
-/// What becomes of a set of edits.
+/// Result of merging a set of edits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The snapshot with every edit that holds; its version is one more than the base's.
+    /// The snapshot with all valid edits; its version is that of the base plus one.
     pub snapshot: Snapshot,
-    /// Whether it differs from the base in more than its version.
+    /// Whether the snapshot differs from the base in more than its version.
     pub changed: bool,
-    /// Edits left out, with what to mend.
+    /// Edits that were left out, with the fault of each.
     pub faults: BTreeMap<RowName, String>,
 }
 
 /// Merges edited rows into the snapshot in force. A null value deletes a row.
 ///
-/// Rows whose keys are not `kind:name` are ignored: the table may hold the operators' own notes.
+/// Rows whose keys are not `kind:name` are ignored, since operators may store notes in the table.
 pub fn merge(base: &Snapshot, edits: &[TableRow]) -> Outcome {
     let mut faults = BTreeMap::new();
     let mut left_out = BTreeSet::new();
     loop {
         let snapshot = apply(base, edits, &left_out, &mut faults);
-        let found = match Config::check(&snapshot) {
+        let detected = match Config::check(&snapshot) {
             Ok(_) => Vec::new(),
-            Err(found) => found,
+            Err(detected) => detected,
         };
-        let blamed = blame(&found, base, edits, &left_out);
-        if blamed.is_empty() {
+        let rejected = select_rejected(&detected, base, edits, &left_out);
+        if rejected.is_empty() {
             return finish(base, snapshot, faults);
         }
-        for (row, message) in blamed {
+        for (row, message) in rejected {
             left_out.insert(row.clone());
             faults.insert(row, message);
         }
@@ -56,11 +58,11 @@
     Outcome { changed: same != *base, snapshot, faults }
 }
 
-/// Which edits to leave out for the faults found: the faulty row's own; or that of the row it
-/// clashes with; or, if neither was edited, all that deleted a row, since only a deletion can break
-/// a row that stayed the same.
-fn blame(
-    found: &[RowFault],
+/// Selects the edits to leave out because of the detected faults. For each fault it is the edit of
+/// the invalid row, or else the edit of the row that it conflicts with. If neither was edited, it
+/// is each edit that deleted a row, since only a deletion can invalidate an unchanged row.
+fn select_rejected(
+    detected: &[RowFault],
     base: &Snapshot,
     edits: &[TableRow],
     left_out: &BTreeSet<RowName>,
@@ -70,11 +72,11 @@
         .filter_map(|edit| RowName::parse(&edit.key))
         .filter(|row| !left_out.contains(row))
         .collect();
-    let mut blamed = Vec::new();
-    for fault in found {
+    let mut rejected = Vec::new();
+    for fault in detected {
         let named = [Some(&fault.row), fault.clashes_with.as_ref()];
         if let Some(row) = named.into_iter().flatten().find(|row| edited.contains(row)) {
-            blamed.push((row.clone(), fault.message.clone()));
+            rejected.push((row.clone(), fault.message.clone()));
             continue;
         }
         let message = format!("{} still needs it: {}", fault.row, fault.message);
@@ -82,11 +84,14 @@
             .iter()
             .filter(|edit| edit.value.is_null())
             .filter_map(|edit| RowName::parse(&edit.key))
-            .filter(|row| edited.contains(row) && holds(base, row));
-        blamed.extend(deletions.map(|row| (row, message.clone())));
+            .filter(|row| edited.contains(row) && contains_row(base, row));
+        rejected.extend(deletions.map(|row| (row, message.clone())));
     }
-    debug_assert!(found.is_empty() || !blamed.is_empty(), "the base was checked: {found:?}");
-    blamed
+    debug_assert!(
+        detected.is_empty() || !rejected.is_empty(),
+        "the base was validated: {detected:?}"
+    );
+    rejected
 }
 
 fn apply(
@@ -140,7 +145,7 @@
     };
 }
 
-fn holds(snapshot: &Snapshot, row: &RowName) -> bool {
+fn contains_row(snapshot: &Snapshot, row: &RowName) -> bool {
     match row.kind {
         RowKind::Service => snapshot.services.contains_key(&row.name),
         RowKind::Account => snapshot.accounts.contains_key(&row.name),
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,8 +1,10 @@
-//! One request at a gateway: from its first attempt to its one final answer.
+//! State machine of one request at a gateway: decides on retries and on the one final answer.
+//! Input: frames from sidecars, lost links, verdicts on attempts, and the deadline.
+//! State: the newest attempt, its phase, and the verdict on the earlier_verdict attempts.
 //!
-//! The machine holds what the answer's verdict rests on. It forwards the newest attempt only, in
-//! sequence and once; it tries again only where that cannot run a request twice that must not;
-//! and it never says `not-run` unless every attempt is known not to have run.
+//! Frames of the newest attempt only are forwarded, in sequence and once. A retry is made only
+//! where it cannot run a request twice that must run at most once. The verdict `not-run` is given
+//! only if every attempt is known not to have run.
 
 use hooktrestle_schema::Cause;
 use hooktrestle_schema::Verdict;
@@ -13,59 +15,59 @@
 use crate::verdict::Refusal;
 use crate::verdict::worst;
 
-/// What the machine has to know of a request.
+/// Parameters of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Its number at the gateway.
     pub number: u64,
-    /// Whether and where it may be tried again.
+    /// Whether and where it may be retried.
     pub retry_policy: RetryPolicy,
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
 }
 
-/// Whether and where a request may be tried again.
+/// Whether and where a request may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryPolicy {
-    /// It is repeatable: anywhere, at any time.
+    /// The request is repeatable: a retry may go to any backend server at any time.
     Unrestricted,
-    /// It is not repeatable, and only this gateway knows its ticket: elsewhere, with a new
-    /// ticket, once the old one can never run.
+    /// The request is not repeatable, and only this gateway knows its ticket: a retry goes to
+    /// another backend server with a new ticket, once the old ticket can never run.
     WithNewTicket,
-    /// It is not repeatable, and the caller holds its ticket: never. The caller may send the
-    /// ticket again at any time, so a second one would let both run.
+    /// The request is not repeatable, and the caller holds its ticket: no retry. The caller may
+    /// send the ticket retry_or_finish at any time, so with a second ticket both could run.
     Never,
 }
 
-/// How far the newest attempt is.
+/// Progress of the newest attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
     /// No attempt is under way.
     Routing,
-    /// Sent; nothing has come back.
+    /// Sent; no frame has been received.
     Sent,
-    /// The head has gone out to the caller; this body sequence is next.
+    /// The head was sent to the caller; `next_sequence` is the next body frame.
     Streaming { next_sequence: u64 },
-    /// The link was lost; the sidecar is being asked what became of the attempt.
+    /// The link was lost; the sidecar is queried for the outcome of the attempt.
     Settling,
-    /// The final answer is out.
+    /// The final answer was sent.
     Done,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// Choose a backend server, other than those tried, and send this attempt.
+    /// Choose a backend server that was not tried yet, and send this attempt.
     Send(RequestId),
-    /// Pass the frame on to the caller.
+    /// Forward the frame to the caller.
     Forward,
-    /// Pass the frame on; the answer is whole.
+    /// Forward the frame; the answer is complete.
     ForwardLast,
-    /// Ask the sidecar, over a new link, what became of this attempt.
+    /// Query the sidecar, over a new link, for the outcome of this attempt.
     Settle(RequestId),
-    /// Give the caller the final answer, now.
+    /// Send this final answer to the caller.
     Finish(Refusal),
-    /// Nothing: the frame belongs to an older attempt, or came twice.
+    /// Ignore the event: it belongs to an older attempt, or is a duplicate.
     Ignore,
 }
 
@@ -75,47 +77,54 @@
     config: Config,
     attempt: u32,
     phase: Phase,
-    /// The most that the attempts before the newest admit.
-    earlier: Verdict,
-    /// The earliest time to come back that they told.
-    come_back: Option<Millis>,
+    /// Worst verdict of the attempts before the newest.
+    earlier_verdict: Verdict,
+    /// Earliest time to retry after that these attempts were refused with.
+    earliest_retry: Option<Millis>,
 }
 
 impl Attempts {
-    /// A request whose first attempt is to be sent.
+    /// State of a request whose first attempt is to be sent.
     pub fn new(config: Config) -> Attempts {
-        let earlier = Verdict::NotRun;
-        Attempts { config, attempt: 0, phase: Phase::Routing, earlier, come_back: None }
+        let earlier_verdict = Verdict::NotRun;
+        Attempts {
+            config,
+            attempt: 0,
+            phase: Phase::Routing,
+            earlier_verdict,
+            earliest_retry: None,
+        }
     }
 
-    /// The newest attempt.
+    /// Identifier of the newest attempt.
     pub fn id(&self) -> RequestId {
         RequestId { number: self.config.number, attempt: self.attempt }
     }
 
-    /// Whether the final answer is out.
+    /// Whether the final answer was sent.
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// Whether the head of an answer has gone out to the caller.
+    /// Whether the head of an answer was sent to the caller.
     pub fn is_streaming(&self) -> bool {
         matches!(self.phase, Phase::Streaming { .. })
     }
 
-    /// The newest attempt has been handed to a link.
+    /// Records that the newest attempt was passed to a link.
     pub fn sent(&mut self) {
         debug_assert_eq!(self.phase, Phase::Routing);
         self.phase = Phase::Sent;
     }
 
-    /// No backend server could be chosen. Those that were asked may have told when they take requests again.
+    /// Ends the request because no backend server could be chosen. A time to retry after from an
+    /// earlier_verdict refusal takes precedence over the one in `refusal`.
     pub fn not_routed(&mut self, refusal: Refusal) -> Next {
-        let retry_after = self.come_back.or(refusal.retry_after);
+        let retry_after = self.earliest_retry.or(refusal.retry_after);
         self.finish(Refusal { retry_after, ..refusal })
     }
 
-    /// The head of an answer has arrived.
+    /// Handles the head of an answer.
     pub fn head(&mut self, id: RequestId) -> Next {
         if id != self.id() || self.phase != Phase::Sent {
             return Next::Ignore;
@@ -124,7 +133,7 @@
         Next::Forward
     }
 
-    /// A piece of an answer has arrived.
+    /// Handles a body frame of an answer.
     pub fn body(&mut self, id: RequestId, sequence: u64, last: bool) -> Next {
         let Phase::Streaming { next_sequence } = self.phase else { return Next::Ignore };
         if id != self.id() || sequence < next_sequence {
@@ -141,7 +150,8 @@
         Next::Forward
     }
 
-    /// The sidecar has ended the attempt. `spent`: its ticket can never run any more.
+    /// Handles the end of the attempt by its sidecar. With `spent`, its ticket can never be
+    /// accepted any more.
     pub fn refused(
         &mut self,
         id: RequestId,
@@ -157,13 +167,21 @@
             return self.finish(Refusal { verdict: Verdict::Ran, ..refusal });
         }
         if refusal.verdict == Verdict::NotRun {
-            let harmless = self.is_repeatable() || spent;
-            return self.again(refusal, harmless && helps(refusal.cause), budget);
+            let safe = self.is_repeatable() || spent;
+            return self.retry_or_finish(
+                refusal,
+                safe && may_succeed_elsewhere(refusal.cause),
+                budget,
+            );
         }
-        self.again(refusal, self.is_repeatable() && helps(refusal.cause), budget)
+        self.retry_or_finish(
+            refusal,
+            self.is_repeatable() && may_succeed_elsewhere(refusal.cause),
+            budget,
+        )
     }
 
-    /// The link that carried the attempt was lost.
+    /// Handles the loss of the link that carried the attempt.
     pub fn link_lost(&mut self, id: RequestId, budget: &mut RetryBudget) -> Next {
         if id != self.id() {
             return Next::Ignore;
@@ -171,7 +189,7 @@
         match self.phase {
             Phase::Streaming { .. } => self.finish(Refusal::ran(Cause::LinkLost)),
             Phase::Sent if self.is_repeatable() && self.attempt + 1 < self.config.max_attempts => {
-                self.again(Refusal::may_have_run(Cause::LinkLost), true, budget)
+                self.retry_or_finish(Refusal::may_have_run(Cause::LinkLost), true, budget)
             }
             Phase::Sent => {
                 self.phase = Phase::Settling;
@@ -181,7 +199,7 @@
         }
     }
 
-    /// The sidecar has said what became of the attempt, or (`None`) could not be asked in time.
+    /// Handles the sidecar's verdict on the attempt; `None` if no verdict was received in time.
     pub fn settled(
         &mut self,
         id: RequestId,
@@ -193,10 +211,11 @@
         }
         let verdict = verdict.unwrap_or(Verdict::MayHaveRun);
         let refusal = Refusal { verdict, cause: Cause::LinkLost, retry_after: None };
-        self.again(refusal, verdict == Verdict::NotRun, budget)
+        self.retry_or_finish(refusal, verdict == Verdict::NotRun, budget)
     }
 
-    /// The deadline has passed: the caller is told at once; what may still run is cancelled.
+    /// Ends the request because its deadline has passed. The caller is answered at once; an attempt
+    /// that may still run is to be cancelled.
     pub fn deadline(&mut self) -> Next {
         let verdict = match self.phase {
             Phase::Done => return Next::Ignore,
@@ -211,33 +230,39 @@
         self.config.retry_policy == RetryPolicy::Unrestricted
     }
 
-    /// Tries again if that is `allowed` and within the limits, else finishes.
-    fn again(&mut self, refusal: Refusal, allowed: bool, budget: &mut RetryBudget) -> Next {
+    /// Retries if `allowed` and within the limits and the budget, else finishes.
+    fn retry_or_finish(
+        &mut self,
+        refusal: Refusal,
+        allowed: bool,
+        budget: &mut RetryBudget,
+    ) -> Next {
         let left = self.attempt + 1 < self.config.max_attempts;
-        let held = self.config.retry_policy == RetryPolicy::Never;
-        if held || !allowed || !left || !budget.take() {
+        let is_forbidden = self.config.retry_policy == RetryPolicy::Never;
+        if is_forbidden || !allowed || !left || !budget.take() {
             return self.finish(refusal);
         }
-        self.earlier = worst(self.earlier, refusal.verdict);
-        self.note_time(&refusal);
+        self.earlier_verdict = worst(self.earlier_verdict, refusal.verdict);
+        self.record_retry_after(&refusal);
         self.attempt += 1;
         self.phase = Phase::Routing;
         Next::Send(self.id())
     }
 
-    fn note_time(&mut self, refusal: &Refusal) {
-        self.come_back = [self.come_back, refusal.retry_after].into_iter().flatten().min();
+    fn record_retry_after(&mut self, refusal: &Refusal) {
+        self.earliest_retry =
+            [self.earliest_retry, refusal.retry_after].into_iter().flatten().min();
     }
 
     fn finish(&mut self, refusal: Refusal) -> Next {
         self.phase = Phase::Done;
-        let verdict = worst(self.earlier, refusal.verdict);
+        let verdict = worst(self.earlier_verdict, refusal.verdict);
         Next::Finish(Refusal { verdict, ..refusal })
     }
 }
 
-/// Whether another backend server could do better.
-fn helps(cause: Cause) -> bool {
+/// Whether an attempt at another backend server may succeed after this cause.
+fn may_succeed_elsewhere(cause: Cause) -> bool {
     matches!(
         cause,
         Cause::QueueFull
@@ -250,7 +275,7 @@
     )
 }
 
-/// The answer to a request that cannot be sent anywhere.
+/// The answer to a request for which no backend server is available.
 pub fn no_backend_server(retry_after: Millis) -> Refusal {
     Refusal::not_run(Cause::NoBackendServer).retry_after(retry_after)
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,9 @@
-//! The configuration in force: a checked snapshot, in arenas.
+//! The configuration in force, as a validated snapshot in arenas.
+//! Input: the rows of a snapshot, which refer to each other by name.
+//! State: services, accounts, backend servers and data centres. Decides which rows are invalid.
 //!
-//! Rows refer to each other by name; a [`Config`] exists only if every name resolves, so the code
-//! behind it follows keys and has no missing case.
+//! A [`Config`] exists only if every name resolves, so its users follow keys and need no code for
+//! missing rows.
 
 use std::collections::BTreeMap;
 
@@ -33,7 +35,7 @@
 pub struct Account {
     /// Its name.
     pub name: String,
-    /// Hash of its name: its flow in every fair queue.
+    /// Hash of its name, which is its flow in each fair queue.
     pub hash: u64,
     /// Its row.
     pub row: AccountRow,
@@ -46,9 +48,9 @@
     pub name: String,
     /// Its row.
     pub row: BackendServerRow,
-    /// Service that it serves.
+    /// The service that it serves.
     pub service: Key<Service>,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: Key<DataCentre>,
 }
 
@@ -61,27 +63,27 @@
     pub row: DataCentreRow,
 }
 
-/// A row that cannot be part of a configuration, and why.
+/// A row that cannot be part of a configuration, with the reason.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RowFault {
-    /// Which row.
+    /// The invalid row.
     pub row: RowName,
-    /// The other row that it does not go with, if there is one.
+    /// The other row that it conflicts with, if there is one.
     pub clashes_with: Option<RowName>,
-    /// What to mend.
+    /// What is wrong with the row.
     pub message: String,
 }
 
 impl RowFault {
-    fn alone(kind: RowKind, name: &str, message: String) -> RowFault {
+    fn of_row(kind: RowKind, name: &str, message: String) -> RowFault {
         RowFault { row: RowName::new(kind, name), clashes_with: None, message }
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
-    /// Its version; only ever grows.
+    /// Its version, which only increases.
     pub version: u64,
     /// All services.
     pub services: Arena<Service>,
@@ -97,11 +99,11 @@
 }
 
 impl Config {
-    /// Checks a snapshot's rows against each other and builds the arenas.
+    /// Validates the rows of a snapshot against each other and builds the arenas.
     ///
     /// # Errors
     ///
-    /// Every row at fault.
+    /// All invalid rows.
     pub fn check(snapshot: &Snapshot) -> Result<Config, Vec<RowFault>> {
         let mut config = Config { version: snapshot.version, ..Config::default() };
         let mut faults = Vec::new();
@@ -112,15 +114,15 @@
         if faults.is_empty() { Ok(config) } else { Err(faults) }
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<Key<Service>> {
         self.service_by_name.get(name).copied()
     }
 
     /// The account whose key has this SHA-256, in lower-case hexadecimal.
     ///
-    /// The look-up compares hashes of keys, not keys: its timing tells a stranger nothing that
-    /// helps to find a key, since hashes of guesses share no prefix with hashes of near guesses.
+    /// The lookup compares hashes of keys. So its timing does not help an attacker to find a key:
+    /// the hashes of similar keys have no common prefix.
     pub fn account_by_key_hash(&self, sha256_hex: &str) -> Option<Key<Account>> {
         self.account_by_key_hash.get(sha256_hex).copied()
     }
@@ -130,7 +132,7 @@
         self.server_by_name.get(name).copied()
     }
 
-    /// Whether operators want a backend server emptied, by itself or with its data centre.
+    /// Whether operators drain a backend server, either by itself or with its data centre.
     pub fn is_draining(&self, server: Key<BackendServer>) -> bool {
         let server = &self.servers[server];
         server.row.drain || self.data_centres[server.data_centre].row.drain
@@ -161,7 +163,7 @@
             let key_hash = row.key_sha256_hex.to_ascii_lowercase();
             if key_hash.len() != 64 || !key_hash.bytes().all(|byte| byte.is_ascii_hexdigit()) {
                 let message = "key_sha256_hex: must be 64 hexadecimal digits".to_owned();
-                faults.push(RowFault::alone(RowKind::Account, name, message));
+                faults.push(RowFault::of_row(RowKind::Account, name, message));
                 continue;
             }
             let record = Account { name: name.clone(), hash: hash::of(name), row: row.clone() };
@@ -193,12 +195,12 @@
                 }
                 (None, _) => {
                     let message = format!("service: there is no service `{}`", row.service);
-                    faults.push(RowFault::alone(RowKind::BackendServer, name, message));
+                    faults.push(RowFault::of_row(RowKind::BackendServer, name, message));
                 }
                 (_, None) => {
                     let message =
                         format!("data_centre: there is no data centre `{}`", row.data_centre);
-                    faults.push(RowFault::alone(RowKind::BackendServer, name, message));
+                    faults.push(RowFault::of_row(RowKind::BackendServer, name, message));
                 }
             }
         }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,12 +1,14 @@
-//! What a sidecar does with requests: queues, starts, refuses, and remembers what ran.
+//! Dispatcher of a sidecar's requests: decides which request queues, starts or is refused.
+//! Input: requests, cancellations and queries from gateways, and the ends of runs.
+//! State: the queue, a record of each request by gateway, and the ticket memory.
 //!
-//! This is the one place that can say that a request did not run, so every request is in exactly
-//! one state here, and it is `Running` from before the first byte goes to the backend server.
+//! Only the dispatcher can state that a request did not run. Therefore each request is in exactly
+//! one state here, and it is `Running` before the first byte goes to the backend server.
 //!
-//! A gateway that lost its link asks again over a new one. Each link carries an epoch that grows;
-//! once a newer link has said hello, whatever the older one still delivers is dropped. So a
-//! request that is unknown when asked about can never arrive later, and `not-run` stays true
-//! without a tombstone for every question.
+//! A gateway that lost its link queries its requests over a new link. Each link carries an epoch
+//! that grows. Once a newer link has sent its hello, messages of the older link are dropped. So a
+//! request that is unknown at the time of the query can never arrive later, and `not-run` remains
+//! true without a tombstone for each query.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,13 +33,13 @@
 use crate::util::arena::Key;
 use crate::verdict::Refusal;
 
-/// Records of finished requests kept for one gateway that does not acknowledge them.
-const MOST_FINISHED_RECORDS: usize = 4_096;
+/// Records of finished requests that are retained for a gateway that does not acknowledge them.
+const MAX_FINISHED_RECORDS: usize = 4_096;
 
-/// Weight of the newest run in the mean time that a run takes.
+/// Weight of the newest run in the moving average of run times.
 const RUN_TIME_SMOOTHING: f64 = 0.1;
 
-/// Assumed time of a run before any has finished.
+/// Run time that is assumed until the first run has finished.
 const FIRST_RUN_TIME_MS: f64 = 1_000.0;
 
 /// Limits of a [`Dispatcher`].
@@ -45,23 +47,23 @@
 pub struct Config {
     /// Requests that may run at once.
     pub max_running: usize,
-    /// Requests that may wait.
+    /// Requests that may wait in the queue.
     pub max_queued: usize,
     /// Bounds of the ticket memory.
     pub tickets: ticket_memory::Config,
-    /// How long an unlinked gateway's records are kept.
+    /// How long the records of a gateway without a link are retained.
     pub gateway_retention: Millis,
 }
 
 /// One incarnation of a gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Of its newest link.
+    /// Epoch of its newest link.
     epoch: u64,
     linked: bool,
     unlinked_at: Millis,
-    /// Requests up to this number may have been forgotten.
-    floor: Option<u64>,
+    /// Highest request number whose record may have been evicted.
+    evicted_up_to: Option<u64>,
     records: BTreeMap<RequestId, State>,
     finished: usize,
 }
@@ -73,29 +75,29 @@
     epoch: u64,
 }
 
-/// A request at this sidecar.
+/// Identifier of a request at this sidecar.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RunKey {
     /// Gateway that sent it.
     pub gateway: Key<Gateway>,
-    /// Its number there.
+    /// Its identifier at that gateway.
     pub id: RequestId,
 }
 
-/// What a gateway asks to have run.
+/// Parameters of a request that a gateway sends.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// The account's place in the fair queue.
+    /// Flow of the account in the fair queue.
     pub flow: FlowId,
-    /// The account's share.
+    /// Weight of the account in the fair queue.
     pub weight: u32,
     /// Estimated tokens.
     pub cost_tokens: u32,
-    /// 0 to 9; the higher goes first.
+    /// 0 to 9; a higher priority goes first.
     pub priority: u8,
-    /// Time left to it.
+    /// Time that is left until its deadline.
     pub deadline_in: Millis,
-    /// For a request that is not repeatable.
+    /// Present if the request is not repeatable.
     pub ticket: Option<Ticket>,
 }
 
@@ -106,48 +108,49 @@
     Finished,
 }
 
-/// Answer to a gateway's hello.
+/// Outcome of a gateway's hello.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LinkOutcome {
-    /// The link is open; these runs of its older link have nobody to answer and are to be aborted.
+    /// The link is open. The listed runs belong to an older link, cannot be answered any more and
+    /// are to be aborted.
     Open(Link, Vec<RunKey>),
-    /// A newer link of the same incarnation is open already.
+    /// The gateway's incarnation already has a newer link, or one of the same epoch is open.
     Stale,
 }
 
 /// What to do with a request that arrived.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Arrival {
-    /// It waits; [`Dispatcher::next`] says when it starts.
+    /// It waits; [`Dispatcher::next`] returns it when it starts.
     Queued(RunKey),
-    /// Say so to the gateway. `spent`: its ticket can never run any more.
+    /// Send the refusal to the gateway.
     Refuse {
-        /// Verdict, cause, when to come back.
+        /// Verdict, cause and time to retry after.
         refusal: Refusal,
-        /// Whether its ticket can never run any more.
+        /// Whether its ticket can never be accepted any more.
         spent: bool,
     },
-    /// It came over an outdated link, or a second time: ignore it.
+    /// Ignore it: it came over an outdated link, or is a duplicate.
     Drop,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// Hand the request to the backend server; it counts as running from now on.
+    /// Send the request to the backend server; it counts as running from now on.
     Start(RunKey),
-    /// Refuse a request that waited too long.
+    /// Refuse a request whose deadline passed in the queue.
     Expire(RunKey),
-    /// Nothing until a new event, or this moment.
+    /// Nothing until the next event or this time.
     Idle(Millis),
 }
 
-/// What to do when the caller of a request has gone.
+/// Outcome of the cancellation of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CancelOutcome {
-    /// It waited and never will run.
+    /// It was queued, and never runs.
     Removed(RunKey),
-    /// It runs: abort it at the backend server.
+    /// It is running: abort it at the backend server.
     Abort(RunKey),
     /// Nothing to do.
     Unknown,
@@ -166,15 +169,16 @@
     mean_run_ms: f64,
     tickets: TicketMemory,
     leaving: bool,
-    /// What the backend server asked.
+    /// Back-off that the backend server requested.
     server_back_off: Asked,
-    /// How many requests a second it takes: all that reach it come through here.
+    /// Request rate that the backend server advertised. All its requests pass through this
+    /// dispatcher, so the limit is not shared.
     advertised_limit: Limited,
     permits: Bucket,
 }
 
 impl Dispatcher {
-    /// A dispatcher that remembers nothing, as `incarnation`.
+    /// A dispatcher without records, for the sidecar's `incarnation`.
     pub fn new(config: Config, incarnation: u64) -> Dispatcher {
         Dispatcher {
             config,
@@ -193,23 +197,23 @@
         }
     }
 
-    /// Changes the limits. What runs or waits beyond them stays.
+    /// Changes the limits. Requests that run or wait beyond the new limits are not affected.
     pub fn set_limits(&mut self, max_running: usize, max_queued: usize) {
         self.config.max_running = max_running;
         self.config.max_queued = max_queued;
     }
 
-    /// Requests that wait.
+    /// Number of requests in the queue.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Estimated tokens of the requests that run.
+    /// Estimated tokens of the running requests.
     pub fn running_tokens(&self) -> u64 {
         self.running_tokens
     }
@@ -219,7 +223,7 @@
         self.leaving
     }
 
-    /// Opens a link for a gateway's incarnation.
+    /// Opens a link for an incarnation of a gateway.
     pub fn link(&mut self, now: Millis, name: u64, incarnation: u64, epoch: u64) -> LinkOutcome {
         let key = match self.by_name.get(&(name, incarnation)) {
             Some(key) => *key,
@@ -229,14 +233,15 @@
         if newest.epoch > epoch || (newest.linked && newest.epoch == epoch) {
             return LinkOutcome::Stale;
         }
-        let aborted = self.abandon(now, key);
+        let aborted = self.end_link_requests(now, key);
         let gateway = &mut self.gateways[key];
         gateway.epoch = epoch;
         gateway.linked = true;
         LinkOutcome::Open(Link { gateway: key, epoch }, aborted)
     }
 
-    /// A link has closed: nobody is left to answer over it. Returns the runs to abort.
+    /// Handles the loss of a link: requests of the link cannot be answered any more. Returns the
+    /// runs to abort.
     pub fn unlink(&mut self, now: Millis, link: Link) -> Vec<RunKey> {
         if !self.is_current(link) {
             return Vec::new();
@@ -244,10 +249,10 @@
         let gateway = &mut self.gateways[link.gateway];
         gateway.linked = false;
         gateway.unlinked_at = now;
-        self.abandon(now, link.gateway)
+        self.end_link_requests(now, link.gateway)
     }
 
-    /// Takes a request in, or says why not.
+    /// Queues a request, or returns why it is refused or dropped.
     pub fn request(
         &mut self,
         now: Millis,
@@ -274,7 +279,8 @@
         Arrival::Queued(key)
     }
 
-    /// What to do next; call it after every event until it says [`Next::Idle`].
+    /// Returns what to do next. The caller repeats the call after each event until it returns
+    /// [`Next::Idle`].
     pub fn next(&mut self, now: Millis) -> Next {
         if let Some((deadline, key)) = self.deadlines.first().copied()
             && deadline <= now
@@ -284,7 +290,7 @@
         }
         if self.running < self.config.max_running
             && self.server_back_off.rests_until(now).is_none()
-            && self.has_permit(now)
+            && self.take_permit(now)
             && let Some(entry) = self.queue.pop()
         {
             self.start(now, entry);
@@ -294,15 +300,15 @@
         Next::Idle(expires.min(self.next_permit_at(now)))
     }
 
-    /// Takes a permit for the request that waits longest, if there is one.
-    fn has_permit(&mut self, now: Millis) -> bool {
+    /// Whether the next queued request may start under the advertised limit; takes a permit if so.
+    fn take_permit(&mut self, now: Millis) -> bool {
         match self.advertised_limit.limit() {
             Some(limit) => !self.queue.is_empty() && self.permits.take(limit.per_ms(), 1, now) > 0,
             None => true,
         }
     }
 
-    /// When what waits is looked at again because there is a permit.
+    /// Time at which the next permit is available for a queued request.
     fn next_permit_at(&self, now: Millis) -> Millis {
         let waits = !self.queue.is_empty() && self.running < self.config.max_running;
         match self.advertised_limit.limit().filter(|_| waits) {
@@ -311,14 +317,14 @@
         }
     }
 
-    /// Whether the backend server names a limit.
+    /// Whether a limit that the backend server advertised is in force.
     pub fn is_limited(&self) -> bool {
         self.advertised_limit.limit().is_some()
     }
 
-    /// The backend server said how many requests it takes, or that it takes any number.
+    /// Applies a limit that the backend server advertised, or its withdrawal.
     pub fn apply_limit(&mut self, said: Said) {
-        // One that names none and never did binds nothing.
+        // Without any limit before, the absence of a limit changes nothing.
         let was_limited = self.is_limited();
         if said.limit.is_some() || was_limited {
             self.advertised_limit.hear(said);
@@ -328,7 +334,8 @@
         }
     }
 
-    /// A run has ended, well or badly: its answer, if any, has been handed to the link.
+    /// Records that a run has ended, with or without success. Its answer, if any, has been passed
+    /// to the link.
     pub fn finished(&mut self, now: Millis, key: RunKey) {
         let gateway = &mut self.gateways[key.gateway];
         let Some(state) = gateway.records.get_mut(&key.id) else { return };
@@ -342,7 +349,7 @@
         self.bound_records(key.gateway);
     }
 
-    /// A run has ended before the backend server had any of it: it did not run.
+    /// Records that a run has ended before the backend server received any of it: it did not run.
     pub fn not_started(&mut self, now: Millis, key: RunKey, ticket: Option<&Ticket>) {
         let gateway = &mut self.gateways[key.gateway];
         if let Some(State::Running { cost_tokens, .. }) = gateway.records.remove(&key.id) {
@@ -354,7 +361,7 @@
         }
     }
 
-    /// The gateway has the end of a request, and will not ask about it.
+    /// Drops the record of a finished request: the gateway received its end and does not query it.
     pub fn acknowledge(&mut self, link: Link, id: RequestId) {
         let gateway = &mut self.gateways[link.gateway];
         if matches!(gateway.records.get(&id), Some(State::Finished)) {
@@ -363,7 +370,8 @@
         }
     }
 
-    /// The caller of a request has gone.
+    /// Cancels a request, because its caller has disconnected or its deadline has passed at the
+    /// gateway.
     pub fn cancel(&mut self, now: Millis, link: Link, id: RequestId) -> CancelOutcome {
         let key = RunKey { gateway: link.gateway, id };
         if !self.is_current(link) {
@@ -379,11 +387,11 @@
         }
     }
 
-    /// Says what became of a request, and sees to it that `not-run` stays true: one that waits is
-    /// taken out of the queue. `None` for a question that came over an outdated link.
+    /// Returns the verdict on a request. A queued request is removed from the queue, so that the
+    /// verdict `not-run` remains true. `None` for a query over an outdated link.
     ///
-    /// The ticket, if any, is spent unless its request was taken, so that a request which never
-    /// arrived cannot run under the same ticket later either.
+    /// The ticket, if any, is spent unless its request was accepted, so that a request that never
+    /// arrived cannot run under the same ticket later.
     pub fn settle(
         &mut self,
         now: Millis,
@@ -401,21 +409,27 @@
                 Verdict::NotRun
             }
             Some(State::Running { .. } | State::Finished) => Verdict::Ran,
-            None if gateway.floor.is_some_and(|floor| id.number <= floor) => Verdict::MayHaveRun,
+            None if gateway
+                .evicted_up_to
+                .is_some_and(|evicted_up_to| id.number <= evicted_up_to) =>
+            {
+                Verdict::MayHaveRun
+            }
             None => self.settle_unknown(now, ticket),
         };
         Some(verdict)
     }
 
-    /// Starts leaving: everything that waits is given back, and nothing new is taken.
-    /// Returns what to refuse as `not-run`.
+    /// Starts leaving: empties the queue and refuses new requests. Returns the requests to refuse
+    /// as `not-run`.
     pub fn start_leaving(&mut self, now: Millis) -> Vec<RunKey> {
         self.leaving = true;
         self.dequeue_all(now)
     }
 
-    /// The backend server asked to be sent nothing for a while: nothing waits here for that.
-    /// Returns what to refuse as `not-run`, and for how long.
+    /// Backs off for a time that the backend server requested. Requests do not wait for its end:
+    /// the queue is emptied. Returns the requests to refuse as `not-run`, and the time that is
+    /// left of the back-off.
     pub fn back_off(&mut self, now: Millis, span: Millis) -> (Vec<RunKey>, Millis) {
         self.server_back_off.rest(span, now);
         let waiting = self.dequeue_all(now);
@@ -425,7 +439,7 @@
         )
     }
 
-    /// Takes all that waits out of the queue.
+    /// Removes all requests from the queue.
     fn dequeue_all(&mut self, now: Millis) -> Vec<RunKey> {
         let waiting: Vec<RunKey> = self.queue.iter().map(|entry| entry.key).collect();
         for key in &waiting {
@@ -434,12 +448,12 @@
         waiting
     }
 
-    /// Ends leaving, after operators took the drain back.
+    /// Ends leaving, after operators revoked the drain.
     pub fn stop_leaving(&mut self) {
         self.leaving = false;
     }
 
-    /// Forgets gateways that have been gone for long enough.
+    /// Evicts gateways that have been without a link for the retention time.
     pub fn evict_unlinked(&mut self, now: Millis) {
         let keep = self.config.gateway_retention;
         let gateways = &mut self.gateways;
@@ -453,7 +467,7 @@
         });
     }
 
-    /// When to come back to a queue this long: the time that it takes to work off.
+    /// Estimated time until the current queue has been served.
     fn retry_after(&self) -> Millis {
         let waiting = self.queue.len() as f64 + 1.0;
         let rounds = waiting / self.config.max_running.max(1) as f64;
@@ -520,11 +534,11 @@
         Verdict::NotRun
     }
 
-    /// Takes a waiting request out for good: its ticket, if any, is spent.
+    /// Removes a request from the queue for good: its ticket, if any, is spent.
     fn dequeue(&mut self, now: Millis, key: RunKey) {
         let state = self.gateways[key.gateway].records.remove(&key.id);
         let Some(State::Queued { deadline, ticket }) = state else {
-            debug_assert!(false, "only a queued request is taken back");
+            debug_assert!(false, "only a queued request is dequeued");
             return;
         };
         self.queue.remove(key);
@@ -534,8 +548,8 @@
         }
     }
 
-    /// Takes back what waits for a gateway, and lists what runs for it.
-    fn abandon(&mut self, now: Millis, gateway: Key<Gateway>) -> Vec<RunKey> {
+    /// Dequeues the requests of a gateway, and returns its running requests.
+    fn end_link_requests(&mut self, now: Millis, gateway: Key<Gateway>) -> Vec<RunKey> {
         let mut waiting = Vec::new();
         let mut running = Vec::new();
         for (id, state) in &self.gateways[gateway].records {
@@ -557,7 +571,7 @@
             epoch: 0,
             linked: false,
             unlinked_at: Millis::ZERO,
-            floor: None,
+            evicted_up_to: None,
             records: BTreeMap::new(),
             finished: 0,
         };
@@ -571,11 +585,11 @@
         gateway.linked && gateway.epoch == link.epoch
     }
 
-    /// Forgets the oldest finished requests of a gateway that does not acknowledge, and remembers
-    /// only that it did.
+    /// Evicts the oldest finished request of a gateway that does not acknowledge, and raises
+    /// `evicted_up_to` so that later queries are answered with `may-have-run`.
     fn bound_records(&mut self, key: Key<Gateway>) {
         let gateway = &mut self.gateways[key];
-        if gateway.finished <= MOST_FINISHED_RECORDS {
+        if gateway.finished <= MAX_FINISHED_RECORDS {
             return;
         }
         let oldest = gateway
@@ -586,7 +600,7 @@
         if let Some(id) = oldest {
             gateway.records.remove(&id);
             gateway.finished -= 1;
-            gateway.floor = gateway.floor.max(Some(id.number));
+            gateway.evicted_up_to = gateway.evicted_up_to.max(Some(id.number));
         }
     }
 }
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -1,13 +1,16 @@
-//! Weighted fair queueing between client accounts at one backend server.
+//! Weighted fair queue of client accounts at one backend server: decides which request is next.
+//! Input: requests with account, weight, cost and priority.
+//! State: the waiting requests of each account, and its virtual time.
 //!
-//! Start-time fair queueing: each account has a virtual time that advances by cost over weight
-//! with each of its requests, and the account furthest behind goes first. An account that was
-//! idle starts at the queue's own virtual time, so it neither waits behind others' backlog nor
-//! saves up a claim. Chosen over deficit round robin because a newly active account is then
-//! served next, whatever the others' backlog. Worst case: O(log accounts) a request.
+//! The algorithm is start-time fair queueing. Each account has a virtual time that advances by cost
+//! over weight with each of its requests, and the account with the smallest virtual time is served
+//! next. An account that was idle starts at the queue's own virtual time, so it neither waits
+//! behind the backlog of other accounts nor accumulates credit. This algorithm is preferred to
+//! deficit round robin because a newly active account is served next, independently of the backlog
+//! of the others. Worst case: O(log accounts) per request.
 //!
-//! Within an account, priority counts as an earlier arrival ([`PRIORITY_HEAD_START`] a level), so
-//! a low priority waits longer but never for ever.
+//! Within an account, priority counts as an earlier arrival ([`PRIORITY_HEAD_START`] per level), so
+//! a request of low priority waits longer but does not starve.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,46 +18,47 @@
 
 use crate::clock::Millis;
 
-/// How much earlier than it did a request counts as having arrived, for each priority level.
+/// Time by which the arrival of a request is moved forward per priority level.
 pub const PRIORITY_HEAD_START: Millis = Millis(1_000);
 
-/// Offset that keeps the head start of early arrivals from going below zero.
-const HIGHEST_PRIORITY: u64 = 9;
+/// Highest priority; an offset of its head start keeps the adjusted arrival from underflowing.
+const MAX_PRIORITY: u64 = 9;
 
-/// Virtual time advances by this much for each token at weight 1.
+/// Advance of the virtual time per token at weight 1.
 const VIRTUAL_SCALE: u64 = 1 << 16;
 
-/// One account's place in the queue, as its hash.
+/// Identifier of an account in the queue: the hash of its name.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct FlowId(pub u64);
 
-/// What the queue has to know of a request.
+/// A request in the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry<K> {
-    /// The caller's name for it.
+    /// Identifier that the caller of the queue has for it.
     pub key: K,
-    /// Account that it counts for.
+    /// Account that it is charged to.
     pub flow: FlowId,
-    /// The account's share.
+    /// Weight of the account.
     pub weight: u32,
     /// Estimated tokens.
     pub cost_tokens: u32,
-    /// 0 to 9; the higher goes first.
+    /// 0 to 9; a higher priority goes first.
     pub priority: u8,
-    /// When it arrived.
+    /// Time of its arrival.
     pub arrived: Millis,
 }
 
 #[derive(Debug)]
 struct Flow<K> {
-    /// Virtual time at which the flow's next request may start.
+    /// Virtual start time of the flow's next request.
     start: u64,
-    /// When the flow was last served; settles ties in favour of who waits longest.
+    /// Counter value when the flow was last served; among equal start times, the flow that was
+    /// served longest ago goes first.
     served: u64,
     waiting: BTreeMap<(u64, u64), Entry<K>>,
 }
 
-/// Requests that wait, in the order of fairness.
+/// The queue of waiting requests.
 #[derive(Debug)]
 pub struct FairQueue<K> {
     virtual_now: u64,
@@ -77,12 +81,12 @@
 }
 
 impl<K: Copy + Eq + std::hash::Hash> FairQueue<K> {
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
@@ -91,7 +95,7 @@
     pub fn push(&mut self, entry: Entry<K>) {
         self.counter += 1;
         let head_start = u64::from(entry.priority) * PRIORITY_HEAD_START.0;
-        let offset = HIGHEST_PRIORITY * PRIORITY_HEAD_START.0;
+        let offset = MAX_PRIORITY * PRIORITY_HEAD_START.0;
         let place = (entry.arrived.0 + offset - head_start.min(offset), self.counter);
         let virtual_now = self.virtual_now;
         let flow = self.flows.entry(entry.flow).or_insert_with(|| Flow {
@@ -107,7 +111,7 @@
         self.places.insert(entry.key, (entry.flow, place));
     }
 
-    /// Takes the request whose account is furthest behind its share.
+    /// Removes and returns the next request: one of the account with the smallest virtual time.
     pub fn pop(&mut self) -> Option<Entry<K>> {
         let (start, _, id) = self.heads.pop_first()?;
         self.virtual_now = start;
@@ -120,11 +124,11 @@
         if !flow.waiting.is_empty() {
             self.heads.insert((flow.start, flow.served, id));
         }
-        self.forget_idle();
+        self.evict_idle();
         Some(entry)
     }
 
-    /// Takes one request out, wherever it stands.
+    /// Removes one request from any position of the queue.
     pub fn remove(&mut self, key: K) -> Option<Entry<K>> {
         let (id, place) = self.places.remove(&key)?;
         let flow = self.flows.get_mut(&id).expect("a place has a flow");
@@ -135,14 +139,15 @@
         entry
     }
 
-    /// All requests that wait, in no order.
+    /// All waiting requests, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Entry<K>> {
         self.flows.values().flat_map(|flow| flow.waiting.values())
     }
 
-    /// Drops accounts that are idle and whose debt is paid, so that memory follows the accounts
-    /// in use. Swept when idle ones outnumber busy ones, so the cost a request stays constant.
-    fn forget_idle(&mut self) {
+    /// Evicts idle accounts whose virtual time the queue has reached, so that memory is bounded by
+    /// the accounts in use. Runs when there are more than twice as many accounts as busy ones, so
+    /// that the amortized cost per request is constant.
+    fn evict_idle(&mut self) {
         if self.flows.len() > 2 * self.heads.len() + 16 {
             let virtual_now = self.virtual_now;
             self.flows.retain(|_, flow| !flow.waiting.is_empty() || flow.start > virtual_now);
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,23 +1,26 @@
-//! A lease in the table service, without clocks that agree.
+//! Leader lease in a row of the platform store: decides whether this process writes the row.
+//! Input: the row as it was read, and the outcome of writes.
+//! State: the newest version with the time at which it was first read, and the epoch held.
 //!
-//! The holder writes the row anew now and then. Whoever wants the lease watches the row's version
-//! on its own clock: if it has not changed for the lease's time, it takes the lease with an epoch
-//! one higher, in a write that is conditional on that version. Two cannot both succeed, and times
-//! of two processes are never compared.
+//! The holder renews the lease by writing the row periodically. Another process observes the row's
+//! version on its own clock. If the version has not changed for the duration of the lease, the
+//! process writes the row with the next epoch, on the condition that the row still has that
+//! version. So two processes cannot both succeed, and timestamps of different processes are never
+//! compared.
 //!
-//! A holder that was paused may believe that it still holds the lease; so the lease only keeps
-//! leaders from getting in each other's way. Safety rests on the epoch, which receivers check.
+//! A holder that was suspended may consider the lease still held, so the lease only keeps leaders
+//! from competing. Safety depends on the epoch, which receivers of orders check.
 
 use crate::clock::Millis;
 
-/// The row as it was read.
+/// The lease row as it was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ObservedLease {
     /// Version of the row.
     pub version: u64,
-    /// Who holds it.
+    /// Name of the holder.
     pub holder: String,
-    /// Grows with each holder.
+    /// Grows with each change of the holder.
     pub epoch: u64,
 }
 
@@ -31,11 +34,11 @@
         /// Epoch to write.
         epoch: u64,
     },
-    /// Somebody else holds it.
+    /// Another process holds the lease, or may hold it.
     Wait,
 }
 
-/// One process's view of a lease.
+/// State of a lease at one process.
 #[derive(Clone, Debug)]
 pub struct Lease {
     holder: String,
@@ -46,12 +49,13 @@
 }
 
 impl Lease {
-    /// A view that has seen nothing; `holder` is this process's name, different in each life.
+    /// A lease that has not been read yet. `holder` is the name of this process, and differs for
+    /// each incarnation.
     pub fn new(holder: String, duration: Millis) -> Lease {
         Lease { holder, duration, newest: None, held: None, needs_new_epoch: false }
     }
 
-    /// The row was read.
+    /// Handles a read of the row, and returns what to do next.
     pub fn observe_row(&mut self, now: Millis, row: Option<&ObservedLease>) -> Next {
         let Some(row) = row else { return Next::Write { if_version: 0, epoch: 1 } };
         if row.holder == self.holder {
@@ -73,22 +77,24 @@
         }
     }
 
-    /// A write has taken effect that was begun at `began`: others wait at least until that time
-    /// and the lease's have passed.
+    /// Records a successful write that was started at `began`. Other processes wait at least for
+    /// the duration of the lease from that time.
     pub fn wrote(&mut self, began: Millis, epoch: u64) {
         self.held = Some((epoch, began + self.duration));
         self.needs_new_epoch = false;
     }
 
-    /// What was done under this epoch was left unfinished: the holder goes on only under the next
-    /// one, so that late orders of its own cannot be taken for new ones.
+    /// Ends leadership under the current epoch, because work under it was left unfinished. The
+    /// holder continues only under the next epoch, so that receivers cannot mistake its own late
+    /// orders for new ones.
     pub fn require_new_epoch(&mut self) {
         self.held = None;
         self.needs_new_epoch = true;
     }
 
-    /// The epoch under which this process leads; `None` if the lease may have lapsed. Ask right
-    /// before acting: the process may have been paused since.
+    /// The epoch under which this process leads; `None` if the lease may have lapsed. Must be
+    /// called directly before each action, since the process may have been suspended since the
+    /// last call.
     pub fn epoch(&self, now: Millis) -> Option<u64> {
         self.held.filter(|(_, until)| now < *until).map(|(epoch, _)| epoch)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,37 +1,39 @@
-//! Every decision of hooktrestle, without I/O.
+//! The decision logic of hooktrestle, without I/O, as state machines.
+//! Input: events and the current time `now`. State: in memory only, one value per state machine.
+//! Output: small enums that say what the caller of the state machine is to do next.
 //!
-//! No sockets, no clock, no randomness of its own: events and `now` come in, and small enums of
-//! what to do next go out. The daemon's actors feed these machines and carry out what they say;
-//! tests and benches drive them directly.
+//! The crate opens no sockets, reads no clock and draws no random numbers of its own. The daemon's
+//! actors feed events to the state machines and carry out what they return; tests and benches
+//! drive the state machines directly.
 //!
 //! At a gateway:
-//! - [`attempt`]: one request, from its first attempt to its one final answer.
-//! - [`routing`]: which backend server gets it.
-//! - [`limits`]: what an account may ask for.
+//! - [`attempt`]: the attempts of one request, up to its one final answer.
+//! - [`routing`]: the choice of a backend server for a request.
+//! - [`limits`]: rate and concurrency limits of client accounts.
 //! - [`subset`]: which gateways and sidecars are linked.
-//! - [`retry`]: how many attempts failures may cost.
+//! - [`retry`]: the budget for retries.
 //!
 //! At a sidecar:
-//! - [`dispatch`]: queues, starts, refuses, and knows what ran.
-//! - [`fair_queue`]: whose request goes next.
-//! - [`ticket_memory`]: the tickets of requests that are not repeatable.
+//! - [`dispatch`]: queues, starts and refuses requests, and records which of them ran.
+//! - [`fair_queue`]: the order in which queued requests start.
+//! - [`ticket_memory`]: deduplication of requests that are not repeatable.
 //!
 //! For a group of ranks:
-//! - [`lease`]: who leads.
-//! - [`map_switch`]: one expert map in every step.
-//! - [`popularity`]: which experts are in demand.
-//! - [`placement`]: which expert stands on which rank.
+//! - [`lease`]: leader election.
+//! - [`map_switch`]: the switch to a new expert map, in the same step at all ranks.
+//! - [`popularity`]: estimates of the load of each expert.
+//! - [`placement`]: the assignment of experts to ranks.
 //!
 //! At a gateway without sidecars:
-//! - [`direct`]: routes, backend servers, attempts, repeats, peers.
+//! - [`direct`]: routes, backend servers, attempts, retries, peers.
 //!
-//! Everywhere:
-//! - [`rows`]: the operators' table.
-//! - [`acceptance`]: edited rows to the next configuration.
+//! In all processes:
+//! - [`rows`]: kinds and keys of the rows that operators edit.
+//! - [`acceptance`]: merges edited rows into the next configuration.
 //! - [`config`]: the configuration in force.
 //! - [`verdict`]: whether a request may have run.
-//! - [`standstill`]: when the process stood still.
-//! - [`clock`], [`id`], [`util`]: time, names, arenas.
+//! - [`standstill`]: detects that the process was suspended.
+//! - [`clock`], [`id`], [`util`]: time, identifiers, arenas.
 
 pub mod acceptance;
 pub mod attempt;
--- a/crates/core/src/rows.rs
+++ b/crates/core/src/rows.rs
@@ -1,20 +1,22 @@
-//! The operators' table: which kinds of row there are, and how they are named.
+//! The rows that operators edit: their kinds, names and keys.
+//! Input: the keys of rows in the store. No state.
+//! Decides which keys name a row of the configuration.
 
 use std::fmt;
 
-/// The one table that operators edit.
+/// Table that operators edit.
 pub const ROWS: &str = "rows";
 
-/// Table that holds, by the same keys, why edited rows are not in force.
+/// Table of the reasons why edited rows are not in force, with the same keys.
 pub const ROW_ERRORS: &str = "row_errors";
 
-/// Table that holds the head row of the configuration.
+/// Table with the head row of the configuration.
 pub const CONFIG: &str = "config";
 
 /// Key of the head row.
 pub const HEAD: &str = "head";
 
-/// What a row describes.
+/// Kind of a row.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RowKind {
     /// A service.
@@ -28,11 +30,11 @@
 }
 
 impl RowKind {
-    /// All kinds, in the order in which they refer to each other.
+    /// All kinds, such that each refers only to kinds before it.
     pub const ALL: [RowKind; 4] =
         [RowKind::DataCentre, RowKind::Service, RowKind::Account, RowKind::BackendServer];
 
-    /// Its name in keys and on the command line.
+    /// Name of the kind in keys and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             RowKind::Service => "service",
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Its definition in the schema.
+    /// Name of the kind's definition in the schema.
     pub fn definition(self) -> &'static str {
         match self {
             RowKind::Service => "ServiceRow",
@@ -52,35 +54,36 @@
         }
     }
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn parse(name: &str) -> Option<RowKind> {
         RowKind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// Kind and name of a row; as a key in the table, `kind:name`.
+/// Kind and name of a row. Its key in the table is `kind:name`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowName {
-    /// What it describes.
+    /// Kind of the row.
     pub kind: RowKind,
-    /// The name of that.
+    /// Name within the kind.
     pub name: String,
 }
 
 impl RowName {
-    /// The row of this kind and name.
+    /// The row with this kind and name.
     pub fn new(kind: RowKind, name: &str) -> RowName {
         RowName { kind, name: name.to_owned() }
     }
 
-    /// The row behind a key; `None` if the key is not one of ours, or its name is unfit: letters,
-    /// digits, `-`, `_` and `.` fit into a URL, a CSV cell and a metric's label as they are.
+    /// The row with this key; `None` if the key does not have the form `kind:name`, or its name is
+    /// invalid. Names consist of letters, digits, `-`, `_` and `.`, which need no escaping in a
+    /// URL, a CSV cell or a metric's label.
     pub fn parse(key: &str) -> Option<RowName> {
         let (kind, name) = key.split_once(':')?;
         let kind = RowKind::parse(kind)?;
-        let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-        let fit = !name.is_empty() && name.len() <= 128 && name.bytes().all(fits);
-        fit.then(|| RowName::new(kind, name))
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+        let is_valid = !name.is_empty() && name.len() <= 128 && name.bytes().all(is_allowed);
+        is_valid.then(|| RowName::new(kind, name))
     }
 }
 
