--- a/crates/core/src/map_switch.rs
+++ b/crates/core/src/map_switch.rs
@@ -1,24 +1,27 @@
-//! Changing a group's expert map: in every step, all ranks use one and the same map.
+//! Protocol that switches a group's expert map: in each step, all ranks use the same map.
+//! Input: orders of leaders and replies of ranks. State: one [`Leader`] per ballot, one [`Rank`].
+//! Decides when a new map is committed or aborted, and which step uses it.
 //!
-//! A step needs every rank anyway, so the ranks agree among themselves: a leader stages the new
-//! map at every rank for a step ahead, and commits when all have staged. A rank that has staged
-//! promises not to run that step, or a later one, before it hears the outcome.
+//! A step needs all ranks anyway, so the protocol also needs all of them: a leader stages the new
+//! map at each rank for a later step, and commits it when all ranks have staged it. A rank that has
+//! staged a map promises not to run that step or a later one before it receives the outcome.
 //!
-//! Leaders come and go, and one that was paused may believe that it still leads. Each has a
-//! [`Ballot`], and first asks all ranks to join it; a rank that has joined a ballot refuses lower
-//! ones. So a leader that has been joined by all knows everything that was decided before, and
-//! nothing can be decided behind its back. A leader decides only what was staged under its own
-//! ballot; of an older leader's attempt it commits what some rank has committed and else aborts.
+//! Leadership changes, and a leader that was suspended may still act as one. Each leader has a
+//! [`Ballot`], and first sends all ranks an order to join it. A rank that has joined a ballot
+//! refuses orders of lower ballots. So a leader that was joined by all ranks knows all earlier
+//! decisions, and no earlier leader can decide anything later. A leader decides only on maps that
+//! were staged under its own ballot. Of the maps of earlier leaders, it commits one that some rank
+//! has committed, and aborts the others.
 //!
-//! - [`Rank`]: one rank's side.
-//! - [`Leader`]: one leader's side.
-//! - [`wire`]: the same as they cross processes.
-//! - [`Order`], [`Reply`]: what they say to each other. Orders may be lost, late, repeated and
+//! - [`Rank`]: the state machine of a rank.
+//! - [`Leader`]: the state machine of a leader.
+//! - [`wire`]: conversions to and from messages.
+//! - [`Order`], [`Reply`]: the messages between them. Orders may be lost, delayed, duplicated and
 //!   reordered.
 //!
 //! The fence of a rank, [`Rank::promised`], must outlive its sidecar. A backend server that keeps
-//! fences keeps it; before one that does not, a restarted sidecar answers nothing until it has
-//! read from the table which ballots were given out ([`Rank::restore_fence`]).
+//! fences stores it. For one that does not, a restarted sidecar does not reply until it has read
+//! from the table the highest ballot that was granted ([`Rank::restore_fence`]).
 
 mod leader;
 mod rank;
@@ -30,21 +33,23 @@
 pub use rank::OrderAction;
 pub use rank::Rank;
 
-/// A leader's claim; the higher one wins.
+/// Identifier of a leader's term; the higher ballot takes precedence.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ballot {
-    /// Grows: with each lease of the group's leadership, or beyond all that a rank has seen.
+    /// Grows with each lease of the group's leadership. A rank that leads without the store uses a
+    /// number above all that it has seen.
     pub number: u64,
-    /// 0 for the holder of the lease; else one more than the rank that leads without the store.
+    /// 0 for the holder of the lease; otherwise the number of the rank that leads without the
+    /// store, plus one.
     pub proposer: u32,
 }
 
 /// One version of a group's expert map.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct MapId {
-    /// Grows by one with each switch that succeeds.
+    /// Grows with each switch.
     pub version: u64,
-    /// Whose proposal it is: two leaders may propose the same version.
+    /// Ballot of the leader that proposed it, since two leaders may propose the same version.
     pub ballot: Ballot,
 }
 
@@ -55,44 +60,44 @@
     pub map: MapId,
     /// First step that is to use it.
     pub at_step: u64,
-    /// Whether the switch is decided.
+    /// Whether the switch is committed.
     pub committed: bool,
 }
 
-/// What a leader tells one rank.
+/// Message from a leader to one rank.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Order {
     /// The leader's ballot.
     pub ballot: Ballot,
-    /// What to do.
+    /// Kind of the order.
     pub kind: OrderKind,
 }
 
 /// Kinds of [`Order`].
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum OrderKind {
-    /// Refuse lower ballots from now on, and say how things stand.
+    /// Refuse lower ballots from now on, and reply with the rank's state.
     Join,
-    /// Load the map's weights, and promise to wait for the outcome at `at_step`.
+    /// Load the map's weights, and promise to wait at `at_step` for the outcome.
     Stage {
         /// The map.
         map: MapId,
         /// First step that is to use it.
         at_step: u64,
     },
-    /// The switch to this map is decided.
+    /// The switch to this map is committed.
     Commit {
         /// The map.
         map: MapId,
     },
-    /// The switch to this map is off.
+    /// The switch to this map is aborted.
     Abort {
         /// The map.
         map: MapId,
     },
 }
 
-/// A rank's state, as a leader has to know it.
+/// The state of a rank that it reports to leaders.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct RankState {
     /// The map in use.
@@ -103,19 +108,19 @@
     pub step: u64,
 }
 
-/// What a rank answers.
+/// Reply of a rank to a leader.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Reply {
-    /// It has joined this ballot.
+    /// The rank has joined this ballot.
     Joined(Ballot, RankState),
-    /// It has staged the map.
+    /// The rank has staged the map.
     Staged(MapId),
-    /// It could not, and has promised nothing.
+    /// The rank has not staged the map, and has not promised to wait.
     NotStaged(MapId),
-    /// The map is committed, or in use already.
+    /// The map is committed, or already in use.
     Committed(MapId),
-    /// The map is not staged here, and never will be.
+    /// The map is not staged at the rank, and is never staged later.
     Aborted(MapId),
-    /// It has joined this higher ballot.
+    /// The rank has joined this higher ballot.
     Outdated(Ballot),
 }
--- a/crates/core/src/map_switch/leader.rs
+++ b/crates/core/src/map_switch/leader.rs
@@ -1,4 +1,6 @@
-//! One leader's side of a switch.
+//! Leader of a map switch: decides which orders the ranks get, and commits or aborts the switch.
+//! Input: proposals, replies of ranks, and a request to abort.
+//! State: its ballot, the phase of the switch, and the replies received in this phase.
 
 use crate::map_switch::Ballot;
 use crate::map_switch::MapId;
@@ -7,14 +9,14 @@
 use crate::map_switch::RankState;
 use crate::map_switch::Reply;
 
-/// Where a leader is.
+/// Progress of a leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// It waits for ranks.
+    /// The leader waits for replies.
     Waiting,
-    /// All ranks have joined, nothing is under way, and this map is in use or decided.
+    /// All ranks have joined, no switch is in progress, and this map is in use or committed.
     Settled(MapId),
-    /// A higher ballot has been joined somewhere: this leader can decide nothing any more.
+    /// A rank has joined this higher ballot, so this leader can no longer decide anything.
     Deposed(Ballot),
 }
 
@@ -28,22 +30,22 @@
     Deposed(Ballot),
 }
 
-/// One leader of a group. Orders are given to a closure as (rank, order).
+/// The state of one leader. Orders are passed to a closure as (rank, order).
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Leader {
     ballot: Ballot,
     ranks: usize,
     phase: Phase,
-    /// The map in use when nothing is under way.
+    /// The map in use while no switch is in progress.
     current: MapId,
-    /// Called off under this ballot: its version is not proposed again.
+    /// Map that was aborted under this ballot; its version is not proposed again.
     aborted_map: MapId,
     next_step: u64,
     phases: u32,
 }
 
 impl Leader {
-    /// A leader that has asked nobody yet; call [`Leader::send`].
+    /// A leader that has not sent any orders yet; call [`Leader::send`].
     pub fn new(ballot: Ballot, ranks: usize) -> Leader {
         Leader {
             ballot,
@@ -56,12 +58,12 @@
         }
     }
 
-    /// Its ballot.
+    /// The ballot of this leader.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Where it is.
+    /// The progress of this leader.
     pub fn progress(&self) -> Progress {
         match self.phase {
             Phase::Settled { map, .. } => Progress::Settled(map),
@@ -70,17 +72,18 @@
         }
     }
 
-    /// Whether a proposed map is being staged: the time in which it can be given up.
+    /// Whether a proposed map is being staged; only then the switch can be aborted.
     pub fn is_staging(&self) -> bool {
         matches!(self.phase, Phase::Staging { .. })
     }
 
-    /// Counts the phases that it has been through: orders change when this does.
+    /// Number of phases entered so far. The orders to send change only with this number.
     pub fn phase_number(&self) -> u32 {
         self.phases
     }
 
-    /// Proposes a new map, `horizon` steps ahead. Returns its id; `None` unless settled.
+    /// Proposes a new map, to be used `horizon` steps ahead. Returns its identifier; `None` unless
+    /// settled.
     pub fn propose(&mut self, horizon: u64) -> Option<MapId> {
         let Phase::Settled { map, next_step } = self.phase else { return None };
         let version = map.version.max(self.aborted_map.version) + 1;
@@ -90,36 +93,36 @@
         Some(map)
     }
 
-    /// Calls the switch off if it is not decided: too much time has passed.
+    /// Aborts the switch, for example after a timeout, unless it is committed.
     pub fn abort_staging(&mut self) {
         if let Phase::Staging { map, .. } = self.phase {
             self.start_abort(map);
         }
     }
 
-    /// Gives all orders that are not answered yet, the first time or again.
+    /// Sends all orders of the current phase that have no reply yet.
     pub fn send(&self, mut to: impl FnMut(usize, Order)) {
-        let mut give = |rank, kind| to(rank, Order { ballot: self.ballot, kind });
+        let mut send_order = |rank, kind| to(rank, Order { ballot: self.ballot, kind });
         match &self.phase {
             Phase::Joining { joined } => {
-                for rank in open(joined.iter().map(Option::is_some)) {
-                    give(rank, OrderKind::Join);
+                for rank in unanswered(joined.iter().map(Option::is_some)) {
+                    send_order(rank, OrderKind::Join);
                 }
             }
             Phase::Staging { map, at_step, staged } => {
-                for rank in open(staged.iter().copied()) {
-                    give(rank, OrderKind::Stage { map: *map, at_step: *at_step });
+                for rank in unanswered(staged.iter().copied()) {
+                    send_order(rank, OrderKind::Stage { map: *map, at_step: *at_step });
                 }
             }
             Phase::Committing { map, done } => {
-                for rank in open(done.iter().copied()) {
-                    give(rank, OrderKind::Commit { map: *map });
+                for rank in unanswered(done.iter().copied()) {
+                    send_order(rank, OrderKind::Commit { map: *map });
                 }
             }
             Phase::Aborting { maps } => {
                 for (rank, map) in maps.iter().enumerate() {
                     if let Some(map) = *map {
-                        give(rank, OrderKind::Abort { map });
+                        send_order(rank, OrderKind::Abort { map });
                     }
                 }
             }
@@ -127,7 +130,7 @@
         }
     }
 
-    /// A rank has answered.
+    /// Handles the reply of a rank.
     pub fn reply(&mut self, rank: usize, reply: Reply) {
         match reply {
             Reply::Outdated(by) => {
@@ -155,7 +158,8 @@
         self.resolve_earlier_switches(&all);
     }
 
-    /// Ends what older leaders left behind: commits what some rank has committed, aborts the rest.
+    /// Ends the switches of earlier leaders: commits a map that some rank has committed, and aborts
+    /// all others.
     fn resolve_earlier_switches(&mut self, all: &[RankState]) {
         let decided = all.iter().find_map(|state| match state.armed {
             Some(armed) if armed.committed => Some(armed.map),
@@ -235,7 +239,7 @@
         self.phases += 1;
     }
 
-    /// The highest step that a rank is known to have reached; keeps the horizon ahead of it.
+    /// Records a step that a rank has reached, so that proposals are for steps after the highest.
     pub fn observe_step(&mut self, step: u64) {
         self.next_step = self.next_step.max(step);
         if let Phase::Settled { next_step, .. } = &mut self.phase {
@@ -244,6 +248,6 @@
     }
 }
 
-fn open(done: impl Iterator<Item = bool>) -> impl Iterator<Item = usize> {
+fn unanswered(done: impl Iterator<Item = bool>) -> impl Iterator<Item = usize> {
     done.enumerate().filter(|(_, done)| !done).map(|(rank, _)| rank)
 }
--- a/crates/core/src/map_switch/rank.rs
+++ b/crates/core/src/map_switch/rank.rs
@@ -1,4 +1,6 @@
-//! One rank's side of a switch.
+//! Rank in a map switch: decides how to reply to each order, and whether the next step may run.
+//! Input: orders of leaders, ends of weight loads, starts of steps, and sidecar restarts.
+//! State: the map in use, the staged map, the next step, and the highest ballot joined.
 
 use crate::map_switch::Armed;
 use crate::map_switch::Ballot;
@@ -11,37 +13,39 @@
 /// Whether the next step may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Gate {
-    /// It may, with this map.
+    /// The step may run, with this map.
     Run(MapId),
-    /// It must wait for the outcome of a switch.
+    /// The step must wait for the outcome of a switch.
     Hold,
 }
 
 /// What to do with an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAction {
-    /// Send this answer.
+    /// Send this reply.
     Answer(Reply),
     /// Load the map's weights, then call [`Rank::loaded`].
     Load(MapId),
-    /// Answer nothing: the fence is not known yet.
+    /// Do not reply: the fence is not known yet, the map is still being loaded, or the order is
+    /// late.
     Silent,
 }
 
-/// One rank.
+/// The state of one rank.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Rank {
     state: RankState,
-    /// Orders of lower ballots are refused; `None` until the fence is known again.
+    /// Orders of lower ballots are refused; `None` after a restart until the fence is restored.
     promised: Option<Ballot>,
-    /// What is being loaded.
+    /// The map that is being loaded.
     loading: Option<Armed>,
-    /// The highest map that was staged or called off here: an order to stage it again is late.
+    /// The highest map that was staged or aborted at this rank. An order to stage it, or a lower
+    /// one, is late.
     highest_closed: MapId,
 }
 
 impl Rank {
-    /// A rank that uses `current` and has joined nobody.
+    /// A rank that uses `current` and has not joined any ballot.
     pub fn new(current: MapId) -> Rank {
         Rank {
             state: RankState { current, armed: None, step: 0 },
@@ -51,32 +55,32 @@
         }
     }
 
-    /// How things stand.
+    /// The state that the rank reports to leaders.
     pub fn state(&self) -> RankState {
         self.state
     }
 
-    /// The highest ballot joined; `None` until the fence is known again.
+    /// The highest ballot joined; `None` after a restart until the fence is restored.
     pub fn promised(&self) -> Option<Ballot> {
         self.promised
     }
 
-    /// The sidecar was restarted before a backend server that does not keep fences.
+    /// Handles a restart of the sidecar, whose backend server does not keep fences.
     pub fn lose_fence(&mut self) {
         self.promised = None;
         self.loading = None;
         self.highest_closed = self.state.armed.map_or(self.state.current, |armed| armed.map);
     }
 
-    /// `max_granted` was read from the table after the restart: no ballot above it can have been
-    /// joined before.
+    /// Restores the fence after a restart. `max_granted` was read from the table after the restart,
+    /// so the rank cannot have joined a higher ballot before.
     pub fn restore_fence(&mut self, max_granted: Ballot) {
         if self.promised.is_none() {
             self.promised = Some(max_granted);
         }
     }
 
-    /// Whether the next step may run. The answer stands only until the next call of any method.
+    /// Whether the next step may run. The result is valid only until the next call of any method.
     pub fn gate(&self) -> Gate {
         match self.state.armed {
             Some(armed) if self.state.step >= armed.at_step => {
@@ -90,11 +94,11 @@
         }
     }
 
-    /// The next step has begun.
+    /// Begins the next step, and returns its map.
     ///
     /// # Panics
     ///
-    /// If the gate holds it.
+    /// If the gate holds the step.
     pub fn begin_step(&mut self) -> MapId {
         let Gate::Run(map) = self.gate() else { panic!("a held step must not run") };
         if map != self.state.current {
@@ -105,7 +109,7 @@
         map
     }
 
-    /// Takes an order.
+    /// Handles an order.
     pub fn order(&mut self, order: Order) -> OrderAction {
         let Some(promised) = self.promised else { return OrderAction::Silent };
         if order.ballot < promised {
@@ -114,7 +118,8 @@
         match order.kind {
             OrderKind::Join => OrderAction::Answer(self.join(order.ballot)),
             _ if order.ballot > promised => {
-                // Only a ballot that was joined decides: its leader has not seen how things stand.
+                // A ballot that was not joined decides nothing: its leader does not know the state
+                // of this rank.
                 OrderAction::Answer(Reply::Outdated(promised))
             }
             OrderKind::Stage { map, at_step } => self.stage(map, at_step),
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Weights of the map being staged have been loaded, or could not be.
+    /// Handles the end of loading the weights of the map that is being staged.
     pub fn loaded(&mut self, map: MapId, succeeded: bool) -> Option<Reply> {
         let armed = self.loading.filter(|armed| armed.map == map)?;
         self.loading = None;
@@ -137,7 +142,7 @@
     fn join(&mut self, ballot: Ballot) -> Reply {
         if self.promised < Some(ballot) {
             self.promised = Some(ballot);
-            // Whoever asked for it can no longer decide it.
+            // The leader that staged the map can no longer commit it.
             self.loading = None;
         }
         Reply::Joined(ballot, self.state)
@@ -169,7 +174,7 @@
                 armed.committed = true;
                 OrderAction::Answer(Reply::Committed(map))
             }
-            // A late repetition: the leader has long had its answer.
+            // A late duplicate: the leader has received the reply already.
             _ => OrderAction::Silent,
         }
     }
--- a/crates/core/src/map_switch/wire.rs
+++ b/crates/core/src/map_switch/wire.rs
@@ -1,4 +1,5 @@
-//! The switch's orders and replies as they cross processes.
+//! Conversions between the orders and replies of a map switch and their schema messages.
+//! Input: orders, replies and schema messages. No state, and no decisions.
 
 use hooktrestle_schema::MapArmed;
 use hooktrestle_schema::MapBallot;
@@ -65,7 +66,7 @@
     }
 }
 
-/// An order with the experts that the rank is to have, if it is one to stage them.
+/// Encodes an order. An order to stage a map carries the experts of the rank in that map.
 pub fn order(order: Order, experts: &[u16]) -> MapOrder {
     let kind = match order.kind {
         OrderKind::Join => MapOrderKind::Join,
@@ -80,7 +81,7 @@
     MapOrder { ballot: order.ballot.into(), kind }
 }
 
-/// A reply with the experts that the rank has.
+/// Encodes a reply. A reply to join carries the experts that the rank has.
 pub fn reply(reply: Reply, experts: &[u16]) -> MapReply {
     match reply {
         Reply::Joined(ballot, state) => MapReply::Joined(MapJoined {
@@ -102,7 +103,7 @@
     }
 }
 
-/// What a rank answered; `None` if it answered nothing.
+/// Decodes a reply; `None` if the message states that the rank gave no reply.
 pub fn read_reply(reply: &MapReply) -> Option<Reply> {
     let reply = match reply {
         MapReply::Silent => return None,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,13 +1,15 @@
-//! Which expert stands on which rank.
+//! Placement of experts on the ranks of a group, one layer at a time.
+//! Input: the experts' shares of the tokens, the ranks' speeds, and the current [`Layout`].
+//! State: reusable buffers only. Decides which weights to load into which slots.
 //!
-//! A layer's experts, some of them more than once, fill the slots of the group's ranks. Tokens of
-//! an expert are spread evenly over its replicas, and the rank with the most tokens for its speed
-//! sets the pace of the step.
+//! A layer's experts, some of them with several replicas, fill the slots of the group's ranks.
+//! Tokens of an expert are spread evenly over its replicas, and the rank with the most tokens
+//! relative to its speed determines the duration of the step.
 //!
-//! - [`Layout`]: one layer's map, and the loads that it makes.
-//! - [`plan`]: the few moves that are worth their cost.
-//! - [`baseline`]: what it is measured against: the layout left alone, and packed anew each time.
-//! - [`min_skew`]: what no layout can be better than.
+//! - [`Layout`]: the map of one layer, and the loads that result from it.
+//! - [`Planner`]: searches for the few moves whose gain exceeds their cost.
+//! - [`baseline`]: packing from scratch, as a reference for the planner.
+//! - [`min_skew`]: a lower bound of the skew over all layouts.
 
 pub mod baseline;
 mod layout;
@@ -20,8 +22,8 @@
 pub use search::Config;
 pub use search::Planner;
 
-/// The least load that the slowest rank can have, over the mean load: an expert with `r` replicas
-/// puts at least its tokens over `r` on some rank, and there are only so many slots.
+/// Lower bound of the slowest rank's load over the mean load. An expert with `r` replicas puts at
+/// least `1 / r` of its tokens on some rank, and the number of slots limits the replicas.
 pub fn min_skew(shares: &[f64], ranks: usize, slots_per_rank: usize) -> f64 {
     let replicas = baseline::replicas(shares, ranks, slots_per_rank);
     let mean = shares.iter().sum::<f64>() / ranks as f64;
--- a/crates/core/src/placement/layout.rs
+++ b/crates/core/src/placement/layout.rs
@@ -1,4 +1,6 @@
-//! One layer's map: the expert in each slot of each rank.
+//! Layout of one layer: the expert in each slot of each rank.
+//! Input: replacements of an expert in a slot, and swaps of slots between ranks.
+//! State: the slots, and an index of the ranks of each expert. Rejects invalid layouts.
 
 /// An expert of a layer.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -8,33 +10,34 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Rank(pub u16);
 
-/// Weights of `expert` are loaded into a slot of `rank`, in place of `replaced`.
+/// Loading of the weights of `expert` into a slot of `rank`, in index of `replaced`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Move {
-    /// Where.
+    /// The rank.
     pub rank: Rank,
-    /// Which slot there.
+    /// The slot of that rank.
     pub slot: usize,
-    /// What is loaded.
+    /// The expert that is loaded.
     pub expert: Expert,
-    /// What was there.
+    /// The expert that was in the slot.
     pub replaced: Expert,
 }
 
-/// Experts in slots. Every expert stands somewhere, and never twice on one rank.
+/// Experts in slots. Each expert has at least one replica, and at most one on each rank.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Layout {
     ranks: usize,
     slots_per_rank: usize,
     slots: Vec<Expert>,
-    /// The ranks that each expert stands on, in no order.
+    /// The ranks that have a replica of each expert, in no particular order.
     holders: Vec<Vec<Rank>>,
-    /// Whether an expert stands on a rank, by expert and then rank.
+    /// Whether a rank has a replica of an expert, indexed by expert and then rank.
     has_replica: Vec<bool>,
 }
 
 impl Layout {
-    /// The layout to begin with: all experts in turn, around the ranks, until the slots are full.
+    /// The initial layout: a round-robin placement of all experts on the ranks until the slots are
+    /// full.
     ///
     /// # Panics
     ///
@@ -52,11 +55,11 @@
         Layout::from_ranks(experts, &columns)
     }
 
-    /// The layout with these experts on each rank.
+    /// The layout with the given experts on each rank.
     ///
     /// # Panics
     ///
-    /// If an expert stands nowhere or twice on one rank, or ranks differ in their slots.
+    /// If an expert has no replica or two on one rank, or ranks differ in their number of slots.
     pub fn from_ranks(experts: usize, columns: &[Vec<Expert>]) -> Layout {
         let ranks = columns.len();
         let slots_per_rank = columns.first().map_or(0, Vec::len);
@@ -71,14 +74,14 @@
             assert_eq!(column.len(), slots_per_rank, "every rank has the same slots");
             for expert in column {
                 let place = usize::from(expert.0) * ranks + rank;
-                assert!(!layout.has_replica[place], "{expert:?} stands twice on rank {rank}");
+                assert!(!layout.has_replica[place], "{expert:?} is twice on rank {rank}");
                 layout.has_replica[place] = true;
                 layout.holders[usize::from(expert.0)].push(Rank(rank as u16));
                 layout.slots.push(*expert);
             }
         }
         let everywhere = layout.holders.iter().all(|ranks| !ranks.is_empty());
-        assert!(everywhere, "every expert stands somewhere");
+        assert!(everywhere, "each expert has a replica");
         layout
     }
 
@@ -103,48 +106,48 @@
         &self.slots[from..from + self.slots_per_rank]
     }
 
-    /// How often an expert stands.
+    /// Number of replicas of an expert.
     pub fn replicas(&self, expert: Expert) -> u16 {
         self.holders[usize::from(expert.0)].len() as u16
     }
 
-    /// Whether an expert stands on a rank.
+    /// Whether a rank has a replica of an expert.
     pub fn has_replica(&self, expert: Expert, rank: Rank) -> bool {
         self.has_replica[usize::from(expert.0) * self.ranks + usize::from(rank.0)]
     }
 
-    /// The ranks that an expert stands on.
+    /// The ranks that have a replica of an expert.
     pub fn ranks_of(&self, expert: Expert) -> impl Iterator<Item = Rank> {
         self.holders[usize::from(expert.0)].iter().copied()
     }
 
-    /// Loads other weights into a slot.
+    /// Replaces the expert in a slot by another one.
     ///
     /// # Panics
     ///
-    /// If that would leave an expert nowhere, or put one twice on a rank. The two halves of a swap
-    /// between ranks are [`Layout::swap`].
+    /// If an expert would be left without a replica, or have two on one rank. Swaps between ranks
+    /// need [`Layout::swap`].
     pub fn load(&mut self, rank: Rank, slot: usize, expert: Expert) -> Move {
         let place = usize::from(rank.0) * self.slots_per_rank + slot;
         let replaced = self.slots[place];
-        assert!(self.replicas(replaced) > 1, "{replaced:?} would stand nowhere");
-        assert!(!self.has_replica(expert, rank), "{expert:?} stands on {rank:?} already");
+        assert!(self.replicas(replaced) > 1, "{replaced:?} would have no replica");
+        assert!(!self.has_replica(expert, rank), "{expert:?} is already on {rank:?}");
         self.set(place, rank, expert);
         Move { rank, slot, expert, replaced }
     }
 
-    /// Exchanges what stands in two slots of two ranks.
+    /// Swaps the experts in two slots of two ranks.
     ///
     /// # Panics
     ///
-    /// If that would put an expert twice on a rank.
+    /// If an expert would have two replicas on one rank.
     pub fn swap(&mut self, a: (Rank, usize), b: (Rank, usize)) -> [Move; 2] {
         let place = |(rank, slot): (Rank, usize)| usize::from(rank.0) * self.slots_per_rank + slot;
         let (place_a, place_b) = (place(a), place(b));
         let (expert_a, expert_b) = (self.slots[place_a], self.slots[place_b]);
         assert!(
             !self.has_replica(expert_a, b.0) && !self.has_replica(expert_b, a.0),
-            "stands there already"
+            "an expert is already on the other rank"
         );
         self.set(place_a, a.0, expert_b);
         self.set(place_b, b.0, expert_a);
@@ -154,31 +157,31 @@
         ]
     }
 
-    /// Weights that have to be loaded to get from this layout to `other`: what stands on a rank
-    /// there and not here.
+    /// Number of weight loads that change this layout into `other`: replicas that a rank has in
+    /// `other` but not in this layout.
     pub fn weight_loads_to(&self, other: &Layout) -> usize {
         let here = self.has_replica.iter().zip(&other.has_replica);
         here.filter(|(here, there)| **there && !**here).count()
     }
 
-    /// Each rank's share of the tokens.
+    /// Load of each rank: its share of the tokens.
     pub fn loads(&self, shares: &[f64]) -> Vec<f64> {
         let mut loads = vec![0.0; self.ranks];
         for (rank, load) in loads.iter_mut().enumerate() {
             let experts = self.on(Rank(rank as u16));
-            *load = experts.iter().map(|expert| self.each(shares, *expert)).sum();
+            *load = experts.iter().map(|expert| self.replica_load(shares, *expert)).sum();
         }
         loads
     }
 
-    /// Load of the slowest rank over the mean load.
+    /// Load of the most loaded rank over the mean load.
     pub fn skew(&self, shares: &[f64]) -> f64 {
         let slowest = self.loads(shares).into_iter().fold(0.0, f64::max);
         slowest * self.ranks as f64 / shares.iter().sum::<f64>()
     }
 
-    /// Tokens of an expert at each of its replicas.
-    pub(super) fn each(&self, shares: &[f64], expert: Expert) -> f64 {
+    /// Share of the tokens of each replica of an expert.
+    pub(super) fn replica_load(&self, shares: &[f64], expert: Expert) -> f64 {
         shares[usize::from(expert.0)] / f64::from(self.replicas(expert))
     }
 
--- a/crates/core/src/placement/search.rs
+++ b/crates/core/src/placement/search.rs
@@ -1,52 +1,56 @@
-//! The few moves that are worth their cost.
+//! Planner of expert moves: searches for the few moves whose gain exceeds their cost.
+//! Input: a layout, the experts' shares of the tokens, the ranks' speeds, and how long these last.
+//! State: buffers of the current search. Decides which weights to load into which slots.
 //!
-//! From the layout as it is, the search takes the slowest rank and makes the change there that
-//! helps most for each load of weights: exchanging an expert with another rank, or giving one of
-//! its experts a further replica elsewhere in place of a replica that is needed less. It goes on
-//! until nothing helps; then it moves a replica to the expert whose replicas are hottest from the one
-//! that can spare it best, which may make things worse until further exchanges make use of it. It
-//! stops after some of these in vain, and keeps the beginning of that sequence whose gain, over the time that
-//! popularity lasts, outweighs its cost most. Choosing a beginning, not judging each move by
-//! itself, matters: where several ranks are equally slow, no single move helps at all.
+//! From the current layout, the search takes the slowest rank and makes the change with the largest
+//! gain per weight load: it swaps an expert with another rank, or gives an expert of the rank a
+//! further replica on another rank, in place of a replica that is needed less. It repeats this
+//! until no change has a gain. Then it transfers a replica to the expert with the hottest replicas,
+//! from the expert that can spare it best. A transfer may increase the skew until later swaps make
+//! use of it. The search stops after several transfers without an improvement. The result is the
+//! prefix of the sequence of changes with the largest net gain: the gain over the time for which
+//! the shares are expected to last, minus the cost of the loads. A prefix is chosen, and changes
+//! are not judged individually, because no single change has a gain while several ranks are
+//! equally slow.
 
 use crate::placement::layout::Expert;
 use crate::placement::layout::Layout;
 use crate::placement::layout::Move;
 use crate::placement::layout::Rank;
 
-/// Replicas that are moved in vain before the search stops.
-const MOST_FRUITLESS: usize = 6;
+/// Number of transfers without an improvement after which the search stops.
+const MAX_FRUITLESS_TRANSFERS: usize = 6;
 
-/// What moves cost, and what they gain.
+/// Costs of skew and of moves, and a limit of moves.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Cost that the service puts on a millisecond lost to the slowest rank.
+    /// Weight that the service gives to a millisecond that is lost to the slowest rank.
     pub weight_skew: f64,
-    /// Cost that it puts on a millisecond lost to moving experts.
+    /// Weight that the service gives to a millisecond that is lost to moving experts.
     pub weight_rebalance: f64,
-    /// Step time lost to loading one expert's weights, in milliseconds.
+    /// Step time that is lost to loading the weights of one expert, in milliseconds.
     pub load_ms: f64,
-    /// Most loads in one plan: what the weight store's rate allows.
+    /// Maximum number of weight loads in one plan, as the weight store's rate allows.
     pub max_loads: usize,
 }
 
-/// Plans changes of one group's layouts, layer by layer; keeps its memory between plans.
+/// Plans changes of one group's layouts, layer by layer. It reuses its buffers between plans.
 #[derive(Clone, Debug)]
 pub struct Planner {
     config: Config,
-    each: Vec<f64>,
+    replica_load: Vec<f64>,
     loads: Vec<f64>,
     changes: Vec<Change>,
-    /// Experts that the search has moved a replica to.
+    /// Experts to which the search has transferred a replica.
     protected: Vec<Expert>,
 }
 
 /// One change of a layout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
-    /// Exchange two slots of two ranks: two loads.
+    /// Swap the experts in two slots of two ranks: two weight loads.
     Swap { a: (Rank, usize), b: (Rank, usize) },
-    /// Load another expert into a slot: one load.
+    /// Load another expert into a slot: one weight load.
     Load { at: (Rank, usize), expert: Expert },
 }
 
@@ -59,11 +63,11 @@
     }
 }
 
-/// The best change found so far.
+/// The best change so far.
 #[derive(Clone, Copy, Debug)]
 struct Best {
     change: Option<Change>,
-    /// Reduction of the slowest affected rank's load, for each load of weights.
+    /// Reduction of the slowest affected rank's load per weight load.
     gain: f64,
 }
 
@@ -77,26 +81,26 @@
 }
 
 impl Planner {
-    /// A planner.
+    /// A planner with empty buffers.
     pub fn new(config: Config) -> Planner {
         Planner {
             config,
-            each: Vec::new(),
+            replica_load: Vec::new(),
             loads: Vec::new(),
             changes: Vec::new(),
             protected: Vec::new(),
         }
     }
 
-    /// Changes a layout for these shares, and says which weights have to be loaded.
+    /// Changes a layout for the given shares, and returns the weights to load.
     ///
-    /// `lasts_ms` is how long these shares can be expected to last: what a move saves, it saves for
-    /// so long. `speeds` are the ranks' speeds relative to each other; a rank that is slow for other reasons
-    /// than its load gets less of it. Empty: all are alike.
+    /// `lasts_ms` is the time for which these shares are expected to last, and so the time for
+    /// which a move saves its gain. `speeds` are the relative speeds of the ranks, so that a rank that is
+    /// slow for other reasons than its load gets less load. If empty, all ranks are equally fast.
     ///
     /// # Panics
     ///
-    /// If there is not one share for each expert.
+    /// If the number of shares differs from the number of experts.
     pub fn plan(
         &mut self,
         layout: &mut Layout,
@@ -106,19 +110,19 @@
     ) -> Vec<Move> {
         assert_eq!(shares.len(), layout.experts(), "one share for each expert");
         let mean = shares.iter().sum::<f64>() / layout.ranks() as f64;
-        let mut tried = layout.clone();
-        self.start(&tried, shares, speeds);
+        let mut candidate = layout.clone();
+        self.start(&candidate, shares, speeds);
         self.changes.clear();
         self.protected.clear();
-        let first = self.slowest().1;
+        let initial_load = self.slowest().1;
         let (mut best_net, mut best_len, mut loads) = (0.0, 0, 0);
-        let price = self.price(lasts_ms) * mean;
+        let cost_per_load = self.cost_per_load(lasts_ms) * mean;
         let mut fruitless = 0;
         while loads < self.config.max_loads {
-            let change = match self.improve(&tried, shares, speeds, mean) {
+            let change = match self.improve(&candidate, shares, speeds, mean) {
                 Some(change) => change,
-                None if fruitless >= MOST_FRUITLESS => break,
-                None => match self.transfer(&tried, shares, speeds) {
+                None if fruitless >= MAX_FRUITLESS_TRANSFERS => break,
+                None => match self.transfer(&candidate, shares, speeds) {
                     Some((change, expert)) => {
                         fruitless += 1;
                         self.protected.push(expert);
@@ -127,15 +131,15 @@
                     None => break,
                 },
             };
-            self.apply(&mut tried, shares, speeds, change);
+            self.apply(&mut candidate, shares, speeds, change);
             self.changes.push(change);
             loads += change.loads();
-            let net = first - self.slowest().1 - price * loads as f64;
+            let net = initial_load - self.slowest().1 - cost_per_load * loads as f64;
             if net > best_net {
                 (best_net, best_len) = (net, self.changes.len());
                 fruitless = 0;
             }
-            if first - mean - price * loads as f64 <= best_net {
+            if initial_load - mean - cost_per_load * loads as f64 <= best_net {
                 break;
             }
         }
@@ -143,16 +147,16 @@
         commit(layout, &self.changes)
     }
 
-    /// What one load of weights costs, as a part of the mean load.
-    fn price(&self, lasts_ms: f64) -> f64 {
+    /// Cost of one weight load, as a fraction of the mean load.
+    fn cost_per_load(&self, lasts_ms: f64) -> f64 {
         let Config { weight_skew, weight_rebalance, load_ms, .. } = self.config;
         weight_rebalance * load_ms / (weight_skew * lasts_ms).max(f64::MIN_POSITIVE)
     }
 
     fn start(&mut self, layout: &Layout, shares: &[f64], speeds: &[f64]) {
-        self.each.clear();
+        self.replica_load.clear();
         let experts = (0..layout.experts()).map(|index| Expert(index as u16));
-        self.each.extend(experts.map(|expert| layout.each(shares, expert)));
+        self.replica_load.extend(experts.map(|expert| layout.replica_load(shares, expert)));
         self.loads.clear();
         for rank in 0..layout.ranks() {
             let load = self.load_of(layout, Rank(rank as u16), speeds);
@@ -161,12 +165,12 @@
     }
 
     fn load_of(&self, layout: &Layout, rank: Rank, speeds: &[f64]) -> f64 {
-        let tokens: f64 = layout.on(rank).iter().map(|expert| self.each_of(*expert)).sum();
+        let tokens: f64 = layout.on(rank).iter().map(|expert| self.replica_load_of(*expert)).sum();
         tokens / speed(speeds, rank)
     }
 
-    fn each_of(&self, expert: Expert) -> f64 {
-        self.each[usize::from(expert.0)]
+    fn replica_load_of(&self, expert: Expert) -> f64 {
+        self.replica_load[usize::from(expert.0)]
     }
 
     fn load(&self, rank: Rank) -> f64 {
@@ -183,7 +187,7 @@
         slowest
     }
 
-    /// The change that helps the slowest rank most for each load of weights.
+    /// The change with the largest reduction of the slowest rank's load per weight load.
     fn improve(
         &self,
         layout: &Layout,
@@ -192,10 +196,10 @@
         mean: f64,
     ) -> Option<Change> {
         let (hot, top) = self.slowest();
-        // Less than this is rounding.
+        // Gains below this are rounding errors.
         let mut best = Best { change: None, gain: mean * 1e-6 };
         for other in (0..layout.ranks()).map(|rank| Rank(rank as u16)) {
-            // A rank that is nearly as slow cannot take anything over.
+            // Only a less loaded rank can take over load.
             if other != hot && self.load(other) < top {
                 self.try_swaps(layout, speeds, (hot, top), other, &mut best);
                 self.try_replicas(layout, shares, speeds, (hot, top), other, &mut best);
@@ -215,15 +219,15 @@
     ) {
         let (speed_hot, speed_other) = (speed(speeds, hot), speed(speeds, other));
         let load_other = self.load(other);
-        // No exchange can do better than to level both.
+        // The best result of a swap is an equal load of both ranks.
         let level = (top * speed_hot + load_other * speed_other) / (speed_hot + speed_other);
         if (top - level) / 2.0 <= best.gain {
             return;
         }
         for (slot_hot, mine) in layout.on(hot).iter().enumerate() {
-            let mine_each = self.each_of(*mine);
+            let mine_each = self.replica_load_of(*mine);
             for (slot_other, theirs) in layout.on(other).iter().enumerate() {
-                let moved = mine_each - self.each_of(*theirs);
+                let moved = mine_each - self.replica_load_of(*theirs);
                 if moved <= 0.0 {
                     continue;
                 }
@@ -240,7 +244,7 @@
         }
     }
 
-    /// A further replica, on `other`, of an expert of the slowest rank.
+    /// Considers a further replica, on `other`, of an expert of the slowest rank.
     fn try_replicas(
         &self,
         layout: &Layout,
@@ -250,15 +254,15 @@
         other: Rank,
         best: &mut Best,
     ) {
-        for (slot, given_up) in layout.on(other).iter().enumerate() {
-            if !self.may_give_up(layout, *given_up) {
+        for (slot, removed) in layout.on(other).iter().enumerate() {
+            if !self.can_remove(layout, *removed) {
                 continue;
             }
-            let more = match layout.has_replica(*given_up, hot) {
-                true => self.more_without_one(layout, shares, *given_up),
+            let more = match layout.has_replica(*removed, hot) {
+                true => self.extra_load_without(layout, shares, *removed),
                 false => 0.0,
             };
-            let rest = self.after_giving_up(layout, shares, speeds, *given_up, [other, hot]);
+            let rest = self.load_after_removal(layout, shares, speeds, *removed, [other, hot]);
             if top - rest <= best.gain {
                 continue;
             }
@@ -268,12 +272,12 @@
                 }
                 let share = shares[usize::from(expert.0)];
                 let new_each = share / f64::from(layout.replicas(*expert) + 1);
-                let less = self.each_of(*expert) - new_each - more;
+                let less = self.replica_load_of(*expert) - new_each - more;
                 let hot_after = top - less / speed(speeds, hot);
                 if top - hot_after <= best.gain {
                     continue;
                 }
-                let change = new_each - self.each_of(*given_up);
+                let change = new_each - self.replica_load_of(*removed);
                 let other_after = self.load(other) + change / speed(speeds, other);
                 let after = hot_after.max(other_after);
                 if top - after <= best.gain {
@@ -287,7 +291,7 @@
         }
     }
 
-    /// One of the slowest rank's replicas gives way to an expert that is needed less there.
+    /// Considers the replacement of one of the slowest rank's replicas by a less loaded one.
     fn try_shedding(
         &self,
         layout: &Layout,
@@ -296,11 +300,11 @@
         (hot, top): (Rank, f64),
         best: &mut Best,
     ) {
-        for (slot, given_up) in layout.on(hot).iter().enumerate() {
-            if !self.may_give_up(layout, *given_up) {
+        for (slot, removed) in layout.on(hot).iter().enumerate() {
+            if !self.can_remove(layout, *removed) {
                 continue;
             }
-            let rest = self.after_giving_up(layout, shares, speeds, *given_up, [hot; 2]);
+            let rest = self.load_after_removal(layout, shares, speeds, *removed, [hot; 2]);
             if top - rest <= best.gain {
                 continue;
             }
@@ -310,15 +314,15 @@
                     continue;
                 }
                 let new_each = share / f64::from(layout.replicas(expert) + 1);
-                let change = new_each - self.each_of(*given_up);
+                let change = new_each - self.replica_load_of(*removed);
                 let hot_after = top + change / speed(speeds, hot);
                 best.consider(Change::Load { at: (hot, slot), expert }, top - hot_after.max(rest));
             }
         }
     }
 
-    /// A further replica of the expert whose replicas are hottest, in place of one of the expert
-    /// that can spare it best.
+    /// A further replica of the expert with the hottest replicas, in place of a replica of the
+    /// expert whose remaining replicas get the least load.
     fn transfer(
         &self,
         layout: &Layout,
@@ -327,23 +331,24 @@
     ) -> Option<(Change, Expert)> {
         let experts = || (0..layout.experts()).map(|index| Expert(index as u16));
         let room = |expert: &Expert| usize::from(layout.replicas(*expert)) < layout.ranks();
-        let hottest =
-            experts().filter(room).max_by(|a, b| self.each_of(*a).total_cmp(&self.each_of(*b)))?;
+        let hottest = experts()
+            .filter(room)
+            .max_by(|a, b| self.replica_load_of(*a).total_cmp(&self.replica_load_of(*b)))?;
         let spared = |expert: &Expert| {
             shares[usize::from(expert.0)] / f64::from(layout.replicas(*expert) - 1)
         };
         let spare = experts()
-            .filter(|expert| *expert != hottest && self.may_give_up(layout, *expert))
+            .filter(|expert| *expert != hottest && self.can_remove(layout, *expert))
             .filter(|expert| {
                 layout.ranks_of(*expert).any(|rank| !layout.has_replica(hottest, rank))
             })
             .min_by(|a, b| spared(a).total_cmp(&spared(b)))?;
-        if spared(&spare) >= self.each_of(hottest) {
+        if spared(&spare) >= self.replica_load_of(hottest) {
             return None;
         }
         let new_each = shares[usize::from(hottest.0)] / f64::from(layout.replicas(hottest) + 1);
         let after = |rank: &Rank| {
-            self.load(*rank) + (new_each - self.each_of(spare)) / speed(speeds, *rank)
+            self.load(*rank) + (new_each - self.replica_load_of(spare)) / speed(speeds, *rank)
         };
         let rank = layout
             .ranks_of(spare)
@@ -353,31 +358,33 @@
         Some((Change::Load { at: (rank, slot), expert: hottest }, hottest))
     }
 
-    /// Whether a replica of this expert can go. One that was just moved to an expert must not: to
-    /// drop it again is the cheapest way back to where the search was stuck.
-    fn may_give_up(&self, layout: &Layout, expert: Expert) -> bool {
+    /// Whether a replica of this expert can be removed. Replicas of an expert that has received a
+    /// transfer cannot: removal would be the cheapest change, and would return the search to the
+    /// layout where it was stuck.
+    fn can_remove(&self, layout: &Layout, expert: Expert) -> bool {
         layout.replicas(expert) > 1 && !self.protected.contains(&expert)
     }
 
-    /// What each other replica of an expert takes over when one goes.
-    fn more_without_one(&self, layout: &Layout, shares: &[f64], expert: Expert) -> f64 {
+    /// Additional load of each remaining replica of an expert when one replica is removed.
+    fn extra_load_without(&self, layout: &Layout, shares: &[f64], expert: Expert) -> f64 {
         let share = shares[usize::from(expert.0)];
-        share / f64::from(layout.replicas(expert) - 1) - self.each_of(expert)
+        share / f64::from(layout.replicas(expert) - 1) - self.replica_load_of(expert)
     }
 
-    /// Load of the slowest of the ranks with this expert `but` these, once one has given it up.
-    fn after_giving_up(
+    /// Load of the slowest rank with this expert, other than `except`, when one replica of it is
+    /// removed.
+    fn load_after_removal(
         &self,
         layout: &Layout,
         shares: &[f64],
         speeds: &[f64],
         expert: Expert,
-        but: [Rank; 2],
+        except: [Rank; 2],
     ) -> f64 {
-        let more = self.more_without_one(layout, shares, expert);
+        let more = self.extra_load_without(layout, shares, expert);
         layout
             .ranks_of(expert)
-            .filter(|other| !but.contains(other))
+            .filter(|other| !except.contains(other))
             .map(|other| self.load(other) + more / speed(speeds, other))
             .fold(0.0, f64::max)
     }
@@ -393,7 +400,8 @@
             Change::Load { at: (rank, slot), expert } => {
                 let done = layout.load(rank, slot, expert);
                 for changed in [done.expert, done.replaced] {
-                    self.each[usize::from(changed.0)] = layout.each(shares, changed);
+                    self.replica_load[usize::from(changed.0)] =
+                        layout.replica_load(shares, changed);
                 }
                 self.loads[usize::from(rank.0)] = self.load_of(layout, rank, speeds);
                 for changed in [done.expert, done.replaced] {
@@ -406,11 +414,11 @@
     }
 }
 
-/// Carries changes out, and lists the weights to load: a slot that changed twice is loaded once,
-/// and one that is back at what it was not at all.
+/// Applies changes to a layout, and lists the weights to load. A slot that changed several times is
+/// loaded once, and a slot that has its former expert again is not loaded.
 fn commit(layout: &mut Layout, changes: &[Change]) -> Vec<Move> {
     let mut moves: Vec<Move> = Vec::new();
-    let mut note = |done: Move| {
+    let mut record = |done: Move| {
         let known = moves.iter_mut().find(|old| old.rank == done.rank && old.slot == done.slot);
         match known {
             Some(old) => old.expert = done.expert,
@@ -419,8 +427,8 @@
     };
     for change in changes {
         match *change {
-            Change::Swap { a, b } => layout.swap(a, b).into_iter().for_each(&mut note),
-            Change::Load { at: (rank, slot), expert } => note(layout.load(rank, slot, expert)),
+            Change::Swap { a, b } => layout.swap(a, b).into_iter().for_each(&mut record),
+            Change::Load { at: (rank, slot), expert } => record(layout.load(rank, slot, expert)),
         }
     }
     moves.retain(|done| done.expert != done.replaced);
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -1,25 +1,28 @@
-//! How popular each expert of a layer is, from counts that are late, noisy and have gaps.
+//! Estimator of the popularity of each expert of a layer.
+//! Input: token counts of each expert per interval, which are delayed, noisy and may be missing.
+//! State: a moving average and its length for each expert. Decides when a share has changed.
 //!
-//! Each expert's share of the tokens is averaged over as long as it stays the same, up to a limit,
-//! and the average starts over when a count is too far off to be noise. So a steady expert's
-//! estimate is nearly free of noise, and a sudden theme is seen with the first counts that show it.
-//! An average of one fixed length would have to give up one for the other. A drift too slow to be
-//! seen as a change is followed by the limit on the length.
+//! The share of each expert is averaged over the time for which it stays the same, up to a limit.
+//! The average restarts when a count deviates too far to be noise. So the estimate of a stable
+//! expert has hardly any noise, and a sudden change of load is detected with the first counts that
+//! show it. An average of fixed length would be worse in one of the two. The limit of the length
+//! makes the average follow a drift that is too slow to be detected as a change.
 
-/// Bounds of an estimate.
+/// Parameters of an estimate.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Longest average, in counts.
+    /// Maximum length of the average, in counts.
     pub max_counts: f64,
-    /// Deviation from the average, in standard deviations, that one count has to show.
+    /// Deviation of one count from the average, in standard deviations, above which it is a change.
     pub jump_sigmas: f64,
-    /// Deviation that two counts in a row have to show, in the same direction.
+    /// Deviation of two successive counts in the same direction, in standard deviations, above
+    /// which they are a change.
     pub drift_sigmas: f64,
-    /// Change from one count to the next, in standard deviations, below which a change is over.
+    /// Difference of two successive counts, in standard deviations, below which a change has ended.
     pub settled_sigmas: f64,
-    /// How far ahead of its counts a change is followed: they come late.
+    /// Number of counts by which a change is extrapolated, because counts are delayed.
     pub lookahead_counts: f64,
-    /// Relative noise of counts beyond that of independent tokens.
+    /// Relative noise of counts in addition to that of independent tokens.
     pub extra_relative_noise: f64,
 }
 
@@ -38,15 +41,15 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Expert {
-    /// The estimate, ahead of the counts while it moves.
+    /// The estimate, extrapolated while the share changes.
     share: f64,
     level: f64,
-    /// Change of the level from count to count, while it moves.
+    /// Change of the level per count while the share changes.
     slope: f64,
     moving: bool,
-    /// Counts in the level's average.
+    /// Number of counts in the average of the level.
     counts: f64,
-    /// Counts since the share last changed.
+    /// Number of counts since the share last changed.
     age: f64,
     last_share: f64,
     last_sigmas: f64,
@@ -61,7 +64,7 @@
 }
 
 impl Popularity {
-    /// An estimate that takes all experts for equal until it has seen counts.
+    /// An estimate with equal shares of all experts until it has received counts.
     pub fn new(config: Config, experts: usize) -> Popularity {
         let even = 1.0 / experts.max(1) as f64;
         Popularity {
@@ -71,24 +74,24 @@
         }
     }
 
-    /// Each expert's share of the tokens; they add up to 1.
+    /// Share of each expert in the tokens; the sum is 1.
     pub fn shares(&self) -> &[f64] {
         &self.shares
     }
 
-    /// For how many counts the shares have been the same, weighed by share. What has lasted for some
-    /// time can be expected to last for about as long again.
+    /// Number of counts for which the shares have been stable, averaged with the shares as weights.
+    /// A share that was stable for some time is expected to remain so for about as long.
     pub fn stable_counts(&self) -> f64 {
         let weighed = self.experts.iter().zip(&self.shares);
         weighed.map(|(expert, share)| expert.age * share).sum()
     }
 
-    /// Takes the tokens that each expert had in one interval. An interval that is missing is
-    /// simply not given; one without tokens says nothing.
+    /// Adds the token counts of each expert in one interval. For an interval without counts, the
+    /// caller makes no call; an interval without tokens is ignored.
     ///
     /// # Panics
     ///
-    /// If the number of experts is another.
+    /// If the number of counts differs from the number of experts.
     pub fn observe(&mut self, tokens: &[f64]) {
         assert_eq!(tokens.len(), self.experts.len(), "one count for each expert");
         let total: f64 = tokens.iter().sum();
@@ -119,7 +122,7 @@
         self.share = (self.level + config.lookahead_counts * self.slope).max(0.0);
     }
 
-    /// The share has been the same so far.
+    /// Adds a count to the average of a stable share, or detects a change.
     fn average(&mut self, config: &Config, share: f64, total: f64) {
         let variance = variance(config, self.level.max(share / 4.0), total);
         let both = variance * (1.0 + 1.0 / self.counts);
@@ -138,7 +141,7 @@
         }
     }
 
-    /// The share was changing: follows it, ahead of the counts, until two of them agree.
+    /// Follows a changing share with extrapolation until two successive counts agree.
     fn follow(&mut self, config: &Config, share: f64, total: f64) {
         let step = share - self.last_share;
         let noise = (2.0 * variance(config, share.max(self.last_share), total)).sqrt();
@@ -156,7 +159,7 @@
     }
 }
 
-/// Variance of one count, as a share: that of independent tokens, and what comes on top of it.
+/// Variance of the share in one count: that of independent tokens plus the additional noise.
 fn variance(config: &Config, share: f64, total: f64) -> f64 {
     let tokens = share * total;
     (tokens.max(1.0) + (config.extra_relative_noise * tokens).powi(2)) / (total * total)
