--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -111,8 +111,7 @@
 /// Outcome of a gateway's hello.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LinkOutcome {
-    /// The link is open. The listed runs belong to an older link, cannot be answered any more and
-    /// are to be aborted.
+    /// The link is open. The listed runs of an older link cannot be answered: abort them.
     Open(Link, Vec<RunKey>),
     /// The gateway's incarnation already has a newer link, or one of the same epoch is open.
     Stale,
@@ -171,8 +170,7 @@
     leaving: bool,
     /// Back-off that the backend server requested.
     server_back_off: Asked,
-    /// Request rate that the backend server advertised. All its requests pass through this
-    /// dispatcher, so the limit is not shared.
+    /// Request rate that the backend server advertised, not shared: all requests pass through here.
     advertised_limit: Limited,
     permits: Bucket,
 }
@@ -240,8 +238,7 @@
         LinkOutcome::Open(Link { gateway: key, epoch }, aborted)
     }
 
-    /// Handles the loss of a link: requests of the link cannot be answered any more. Returns the
-    /// runs to abort.
+    /// Handles the loss of a link. Returns its runs, which cannot be answered, to abort.
     pub fn unlink(&mut self, now: Millis, link: Link) -> Vec<RunKey> {
         if !self.is_current(link) {
             return Vec::new();
@@ -279,8 +276,7 @@
         Arrival::Queued(key)
     }
 
-    /// Returns what to do next. The caller repeats the call after each event until it returns
-    /// [`Next::Idle`].
+    /// Returns what to do next; called after each event until it returns [`Next::Idle`].
     pub fn next(&mut self, now: Millis) -> Next {
         if let Some((deadline, key)) = self.deadlines.first().copied()
             && deadline <= now
@@ -334,8 +330,7 @@
         }
     }
 
-    /// Records that a run has ended, with or without success. Its answer, if any, has been passed
-    /// to the link.
+    /// Records that a run has ended, and that its answer, if any, was passed to the link.
     pub fn finished(&mut self, now: Millis, key: RunKey) {
         let gateway = &mut self.gateways[key.gateway];
         let Some(state) = gateway.records.get_mut(&key.id) else { return };
@@ -370,8 +365,7 @@
         }
     }
 
-    /// Cancels a request, because its caller has disconnected or its deadline has passed at the
-    /// gateway.
+    /// Cancels a request that its gateway no longer needs to answer.
     pub fn cancel(&mut self, now: Millis, link: Link, id: RequestId) -> CancelOutcome {
         let key = RunKey { gateway: link.gateway, id };
         if !self.is_current(link) {
@@ -420,16 +414,14 @@
         Some(verdict)
     }
 
-    /// Starts leaving: empties the queue and refuses new requests. Returns the requests to refuse
-    /// as `not-run`.
+    /// Starts leaving: refuses new requests, and returns queued ones to refuse as `not-run`.
     pub fn start_leaving(&mut self, now: Millis) -> Vec<RunKey> {
         self.leaving = true;
         self.dequeue_all(now)
     }
 
     /// Backs off for a time that the backend server requested. Requests do not wait for its end:
-    /// the queue is emptied. Returns the requests to refuse as `not-run`, and the time that is
-    /// left of the back-off.
+    /// returns the queued ones to refuse as `not-run`, and the time left of the back-off.
     pub fn back_off(&mut self, now: Millis, span: Millis) -> (Vec<RunKey>, Millis) {
         self.server_back_off.rest(span, now);
         let waiting = self.dequeue_all(now);
@@ -585,8 +577,8 @@
         gateway.linked && gateway.epoch == link.epoch
     }
 
-    /// Evicts the oldest finished request of a gateway that does not acknowledge, and raises
-    /// `evicted_up_to` so that later queries are answered with `may-have-run`.
+    /// Evicts the oldest finished request of a gateway that does not acknowledge. `evicted_up_to`
+    /// makes the verdict of a later query `may-have-run`.
     fn bound_records(&mut self, key: Key<Gateway>) {
         let gateway = &mut self.gateways[key];
         if gateway.finished <= MAX_FINISHED_RECORDS {
--- a/crates/core/src/placement/search.rs
+++ b/crates/core/src/placement/search.rs
@@ -95,8 +95,9 @@
     /// Changes a layout for the given shares, and returns the weights to load.
     ///
     /// `lasts_ms` is the time for which these shares are expected to last, and so the time for
-    /// which a move saves its gain. `speeds` are the relative speeds of the ranks, so that a rank that is
-    /// slow for other reasons than its load gets less load. If empty, all ranks are equally fast.
+    /// which a move saves its gain. `speeds` are the relative speeds of the ranks, so that a rank
+    /// that is slow for other reasons than its load gets less load. If empty, all ranks are equally
+    /// fast.
     ///
     /// # Panics
     ///
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -1,4 +1,7 @@
-//! Leases: one holder at a time by epoch, on clocks that do not agree.
+//! Tests of leases on clocks that differ between processes.
+//!
+//! Failure guarded against: two processes lead under the same epoch, or epochs decrease. Causes are
+//! a holder that stops renewing, and processes that are suspended between reading and writing.
 
 mod support;
 
@@ -11,7 +14,7 @@
 use proptest::proptest;
 use support::seeded;
 
-/// The table's row, with its conditional write.
+/// A table with one row and conditional writes.
 #[derive(Default)]
 struct Table {
     row: Option<ObservedLease>,
@@ -30,7 +33,7 @@
     }
 }
 
-fn turn(lease: &mut Lease, name: &str, table: &mut Table, now: Millis) -> bool {
+fn renew(lease: &mut Lease, name: &str, table: &mut Table, now: Millis) -> bool {
     match lease.observe_row(now, table.row.as_ref()) {
         Next::Write { if_version, epoch } if table.write(if_version, name, epoch) => {
             lease.wrote(now, epoch);
@@ -45,16 +48,16 @@
     let mut table = Table::default();
     let mut a = Lease::new("a".to_owned(), Millis(100));
     let mut b = Lease::new("b".to_owned(), Millis(100));
-    assert!(turn(&mut a, "a", &mut table, Millis(0)));
-    assert!(!turn(&mut b, "b", &mut table, Millis(5_000)));
-    assert!(turn(&mut a, "a", &mut table, Millis(50)));
-    assert!(!turn(&mut b, "b", &mut table, Millis(5_099)));
-    assert!(!turn(&mut b, "b", &mut table, Millis(5_150)));
-    assert!(turn(&mut b, "b", &mut table, Millis(5_200)));
+    assert!(renew(&mut a, "a", &mut table, Millis(0)));
+    assert!(!renew(&mut b, "b", &mut table, Millis(5_000)));
+    assert!(renew(&mut a, "a", &mut table, Millis(50)));
+    assert!(!renew(&mut b, "b", &mut table, Millis(5_099)));
+    assert!(!renew(&mut b, "b", &mut table, Millis(5_150)));
+    assert!(renew(&mut b, "b", &mut table, Millis(5_200)));
     assert_eq!(b.epoch(Millis(5_250)), Some(2));
     assert_eq!(a.epoch(Millis(149)), Some(1));
-    assert_eq!(a.epoch(Millis(150)), None, "by its own clock it has lapsed");
-    assert!(!turn(&mut a, "a", &mut table, Millis(200)), "it finds the lease taken");
+    assert_eq!(a.epoch(Millis(150)), None, "lapsed by its own clock");
+    assert!(!renew(&mut a, "a", &mut table, Millis(200)), "the lease has another holder");
 }
 
 proptest! {
@@ -68,29 +71,29 @@
         let names = ["a", "b", "c"];
         let mut leases: Vec<Lease> =
             names.iter().map(|name| Lease::new((*name).to_owned(), Millis(100))).collect();
-        // Clocks that differ, and processes that are paused between reading and writing.
+        // The clocks differ, and processes are suspended between reading and writing.
         let mut clocks = [Millis(0), Millis(9_000), Millis(77)];
         let mut paused: Vec<Option<(u64, u64, Millis)>> = vec![None; 3];
         let mut holders: Vec<(u64, usize)> = Vec::new();
-        for (who, passed, pauses) in turns {
+        for (process, passed, pauses) in turns {
             clocks.iter_mut().for_each(|clock| *clock = *clock + Millis(passed));
-            let now = clocks[who];
-            let (if_version, epoch, began) = match paused[who].take() {
+            let now = clocks[process];
+            let (if_version, epoch, began) = match paused[process].take() {
                 Some(write) => write,
-                None => match leases[who].observe_row(now, table.row.as_ref()) {
+                None => match leases[process].observe_row(now, table.row.as_ref()) {
                     Next::Write { if_version, epoch } => (if_version, epoch, now),
                     Next::Wait => continue,
                 },
             };
             if pauses {
-                paused[who] = Some((if_version, epoch, began));
+                paused[process] = Some((if_version, epoch, began));
                 continue;
             }
-            if table.write(if_version, names[who], epoch) {
-                leases[who].wrote(began, epoch);
-                let newest = holders.last().copied().unwrap_or((0, who));
-                prop_assert!(epoch > newest.0 || (epoch, who) == newest);
-                holders.push((epoch, who));
+            if table.write(if_version, names[process], epoch) {
+                leases[process].wrote(began, epoch);
+                let newest = holders.last().copied().unwrap_or((0, process));
+                prop_assert!(epoch > newest.0 || (epoch, process) == newest);
+                holders.push((epoch, process));
             }
         }
     }
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,4 +1,7 @@
-//! Account limits: against a slow version that counts every request in the last second.
+//! Tests of account limits, against a slow reference that counts the requests of each span.
+//!
+//! Failure guarded against: all gateways together admit more than an account's limit and one burst,
+//! or a caller that retries after the given time is refused again.
 
 mod support;
 
@@ -51,8 +54,8 @@
                 let span_s = end.since(*start).0 as f64 / 1_000.0;
                 // Each gateway's bucket holds at least one request.
                 let burst = f64::from(limit).max(gateways as f64);
-                let most = f64::from(limit) * span_s + burst + 1.0;
-                prop_assert!(count as f64 + 1.0 <= most, "{} in {span_s} s", count + 1);
+                let allowed = f64::from(limit) * span_s + burst + 1.0;
+                prop_assert!(count as f64 + 1.0 <= allowed, "{} in {span_s} s", count + 1);
             }
         }
     }
@@ -67,10 +70,10 @@
     while now < Millis(20_000) {
         match limiter.admit(now, 1, &row, 1, 100) {
             Ok(()) => admitted += 1,
-            Err(refusal) => now = now + refusal.retry_after.expect("when to come back"),
+            Err(refusal) => now = now + refusal.retry_after.expect("a time to retry after"),
         }
     }
-    // 10 in the first burst, and 10 a second from then on.
+    // 10 in the first burst, then 10 per second.
     assert!((205..=211).contains(&admitted), "{admitted}");
 }
 
@@ -80,7 +83,7 @@
     let row = row(100, 100, 100);
     assert!(limiter.admit(Millis(0), 1, &row, 1, 1_000).is_ok());
     let refusal = limiter.admit(Millis(1), 1, &row, 1, 1).unwrap_err();
-    assert!(refusal.retry_after.expect("when to come back") > Millis(8_000));
+    assert!(refusal.retry_after.expect("a time to retry after") > Millis(8_000));
 }
 
 #[test]
--- a/crates/core/tests/map_switch.rs
+++ b/crates/core/tests/map_switch.rs
@@ -1,10 +1,14 @@
-//! One map a step: every order of messages and every crash point of small groups, and long random
-//! paths of larger ones.
+//! Tests of map switches: all message orders and crash points of small groups, and long random
+//! paths of larger groups.
+//!
+//! Failure guarded against: two ranks use different maps in the same step, or a group cannot run
+//! any further step. Causes are lost, late and repeated messages, failed loads, restarts of
+//! sidecars, leaders that compete, and leaders without the store.
 
 mod model;
 mod support;
 
-use model::Broken;
+use model::Flaw;
 use model::Setup;
 use model::World;
 use model::walk;
@@ -20,63 +24,69 @@
     leases: 2,
     proposals: 1,
     restarts: 0,
-    repeats: 1,
+    retransmissions: 1,
     late_replies: false,
     keeps_fence: false,
-    storeless: 0,
-    broken: Broken::Nothing,
+    storeless_terms: 0,
+    flaw: Flaw::Nothing,
 };
 
-fn holds(setup: Setup) {
+fn assert_safe(setup: Setup) {
     let walk = walk(&setup);
     println!("{setup:?}: {} states", walk.states);
     assert!(walk.split.is_none(), "two maps in one step: {:#?}", walk.split);
-    assert!(walk.stuck.is_none(), "no leader can get the group going again: {:#?}", walk.stuck);
-    assert!(walk.switched, "no path switches at all: the model proves nothing");
+    assert!(walk.stuck.is_none(), "no leader can resume the group: {:#?}", walk.stuck);
+    assert!(walk.switched, "no path switches the map, so the check is void");
 }
 
-fn is_caught(setup: Setup) {
+fn assert_detected(setup: Setup) {
     let walk = walk(&setup);
-    assert!(walk.split.is_some(), "{} states, and none splits: {setup:?}", walk.states);
+    assert!(walk.split.is_some(), "no split in {} states: {setup:?}", walk.states);
 }
 
 #[test]
 fn two_leaders_lost_late_and_repeated_messages_failed_loads() {
-    holds(TWO_RANKS);
+    assert_safe(TWO_RANKS);
 }
 
 #[test]
 fn a_sidecar_restarted_with_empty_memory_before_a_server_that_keeps_no_fence() {
-    holds(Setup { restarts: 1, last_step: 2, ..TWO_RANKS });
+    assert_safe(Setup { restarts: 1, last_step: 2, ..TWO_RANKS });
 }
 
 #[test]
 fn the_store_down_and_ranks_that_lead_by_themselves() {
-    holds(Setup { leases: 1, storeless: 1, keeps_fence: true, last_step: 2, ..TWO_RANKS });
+    assert_safe(Setup {
+        leases: 1,
+        storeless_terms: 1,
+        keeps_fence: true,
+        last_step: 2,
+        ..TWO_RANKS
+    });
 }
 
 #[test]
 fn three_ranks_and_one_leader() {
-    holds(Setup { ranks: 3, leases: 1, last_step: 2, ..TWO_RANKS });
+    assert_safe(Setup { ranks: 3, leases: 1, last_step: 2, ..TWO_RANKS });
 }
 
 #[test]
 fn a_rank_that_does_not_wait_is_caught() {
-    is_caught(Setup { broken: Broken::IgnoresHold, ..TWO_RANKS });
+    assert_detected(Setup { flaw: Flaw::IgnoresHold, ..TWO_RANKS });
 }
 
 #[test]
 fn a_map_pushed_rank_by_rank_is_caught() {
-    is_caught(Setup { broken: Broken::PushesRankByRank, ..TWO_RANKS });
+    assert_detected(Setup { flaw: Flaw::PushesRankByRank, ..TWO_RANKS });
 }
 
 #[test]
 fn a_restarted_sidecar_that_guesses_the_fence_is_caught() {
-    is_caught(Setup { restarts: 1, broken: Broken::GuessesFence, last_step: 2, ..TWO_RANKS });
+    assert_detected(Setup { restarts: 1, flaw: Flaw::GuessesFence, last_step: 2, ..TWO_RANKS });
 }
 
-/// One random path through a larger group's states.
-fn wander(setup: &Setup, choices: &[u16]) -> Result<World, String> {
+/// Follows one random path through the states of a larger group.
+fn random_path(setup: &Setup, choices: &[u16]) -> Result<World, String> {
     let mut world = World::new(setup);
     for choice in choices {
         let actions = world.actions(setup);
@@ -109,13 +119,13 @@
             leases: 4,
             proposals: 4,
             restarts: 3,
-            repeats: 8,
+            retransmissions: 8,
             late_replies: true,
             keeps_fence,
-            storeless: 2,
-            broken: Broken::Nothing,
+            storeless_terms: 2,
+            flaw: Flaw::Nothing,
         };
-        let wandered = wander(&setup, &choices);
-        prop_assert!(wandered.is_ok(), "{:?}", wandered.err());
+        let outcome = random_path(&setup, &choices);
+        prop_assert!(outcome.is_ok(), "{:?}", outcome.err());
     }
 }
--- a/crates/core/tests/model/mod.rs
+++ b/crates/core/tests/model/mod.rs
@@ -1,8 +1,9 @@
-//! A model of one group: ranks in lock-step, leaders, and a network that may do anything.
+//! Model of one group: ranks in lock-step, leaders, and a network with arbitrary delivery.
 //!
-//! Each message may arrive late, out of order, or never, and leaders repeat theirs at any time, so
-//! it may arrive twice. A leader that dies between two messages is one that is never scheduled again, and one
-//! that was paused is one that is scheduled late; so every crash point is among the paths.
+//! Each message may arrive late, out of order, or never. Leaders may resend their orders at any
+//! time, so a message may arrive twice. A leader that crashes between two messages is one that is
+//! not scheduled again, and one that was suspended is one that is scheduled late. So all crash
+//! points are among the paths.
 #![allow(dead_code, reason = "each test program uses a part")]
 
 use std::collections::BTreeMap;
@@ -30,27 +31,27 @@
     Reply { leader: Ballot, rank: usize, reply: Reply },
 }
 
-/// What may happen.
+/// An event in the model.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Action {
     Deliver(Message),
-    /// An order arrives, and the answer to it is lost.
+    /// An order arrives, and the reply to it is lost.
     DeliverAndLose(Message),
     Propose(usize),
-    GiveUp(usize),
-    Repeat(usize),
+    AbortStaging(usize),
+    Retransmit(usize),
     Loaded {
         rank: usize,
         succeeded: bool,
     },
     Step(usize),
     Restart(usize),
-    Learn(usize),
+    RestoreFence(usize),
     NewLease,
     LeadWithoutStore(usize),
 }
 
-/// How the group is set up, and how much may happen.
+/// Parameters of the group, and limits of the numbers of events.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     pub ranks: usize,
@@ -59,27 +60,28 @@
     pub leases: u64,
     pub proposals: usize,
     pub restarts: usize,
-    /// How often leaders repeat what is not answered.
-    pub repeats: usize,
-    /// Whether replies wait on the network. Else each arrives at once or never, which leaves far
-    /// fewer states to walk: a leader that hears later acts later, and its orders may be late anyway.
+    /// Number of times that leaders resend orders without a reply.
+    pub retransmissions: usize,
+    /// Whether replies are delayed on the network. Otherwise each arrives at once or never, which
+    /// reduces the number of states. A delayed reply delays the leader's orders, and orders may be
+    /// delayed in any case.
     pub late_replies: bool,
-    /// Whether the backend servers keep the fence over a restart of their sidecar.
+    /// Whether the backend servers keep the fence during a restart of their sidecar.
     pub keeps_fence: bool,
-    /// Whether ranks may lead when the store is down.
-    pub storeless: usize,
-    /// What is broken on purpose, to see that the check can fail.
-    pub broken: Broken,
+    /// Number of times that ranks may add_leader without the store.
+    pub storeless_terms: usize,
+    /// Injected flaw, which shows that the check can fail.
+    pub flaw: Flaw,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Broken {
+pub enum Flaw {
     Nothing,
-    /// A restarted sidecar takes the first ballot it hears for the highest.
+    /// A restarted sidecar considers the first ballot that it receives as the highest.
     GuessesFence,
     /// A rank does not wait for the outcome.
     IgnoresHold,
-    /// A switch is pushed rank by rank: committed as soon as one has staged.
+    /// A switch is committed as soon as one rank has staged the map.
     PushesRankByRank,
 }
 
@@ -93,8 +95,8 @@
     used: BTreeMap<u64, MapId>,
     proposals_left: usize,
     restarts_left: usize,
-    repeats_left: usize,
-    storeless_left: usize,
+    retransmissions_left: usize,
+    storeless_terms_left: usize,
 }
 
 /// A step in which two ranks used different maps.
@@ -115,12 +117,12 @@
             used: BTreeMap::new(),
             proposals_left: setup.proposals,
             restarts_left: setup.restarts,
-            repeats_left: setup.repeats,
-            storeless_left: setup.storeless,
+            retransmissions_left: setup.retransmissions,
+            storeless_terms_left: setup.storeless_terms,
         }
     }
 
-    /// Everything that may happen next.
+    /// All events that are possible next.
     pub fn actions(&self, setup: &Setup) -> Vec<Action> {
         let mut actions: Vec<Action> =
             self.messages.iter().map(|message| Action::Deliver(*message)).collect();
@@ -133,16 +135,16 @@
                 actions.push(Action::Propose(index));
             }
             if leader.is_staging() {
-                actions.push(Action::GiveUp(index));
+                actions.push(Action::AbortStaging(index));
             }
-            if leader.progress() == Progress::Waiting && self.repeats_left > 0 {
-                actions.push(Action::Repeat(index));
+            if leader.progress() == Progress::Waiting && self.retransmissions_left > 0 {
+                actions.push(Action::Retransmit(index));
             }
         }
         let slowest = self.ranks.iter().map(|rank| rank.state().step).min().unwrap_or(0);
         for (index, rank) in self.ranks.iter().enumerate() {
             let step = rank.state().step;
-            let held = rank.gate() == Gate::Hold && setup.broken != Broken::IgnoresHold;
+            let held = rank.gate() == Gate::Hold && setup.flaw != Flaw::IgnoresHold;
             if step == slowest && step < setup.last_step && !held {
                 actions.push(Action::Step(index));
             }
@@ -154,9 +156,9 @@
                 actions.push(Action::Restart(index));
             }
             if rank.promised().is_none() {
-                actions.push(Action::Learn(index));
+                actions.push(Action::RestoreFence(index));
             }
-            if self.storeless_left > 0 && setup.keeps_fence {
+            if self.storeless_terms_left > 0 && setup.keeps_fence {
                 actions.push(Action::LeadWithoutStore(index));
             }
         }
@@ -166,7 +168,7 @@
         actions
     }
 
-    /// Lets one thing happen.
+    /// Applies one event.
     pub fn apply(&mut self, setup: &Setup, action: Action) -> Result<(), Split> {
         if let Action::Deliver(message) | Action::DeliverAndLose(message) = action
             && let Some(place) = self.messages.iter().position(|other| *other == message)
@@ -176,7 +178,7 @@
         match action {
             Action::Deliver(Message::Order { rank, order }) => {
                 if let Some(reply) = self.deliver_order(rank, order) {
-                    self.answer(setup, order.ballot, rank, reply);
+                    self.send_reply(setup, order.ballot, rank, reply);
                 }
             }
             Action::DeliverAndLose(Message::Order { rank, order }) => {
@@ -191,45 +193,45 @@
                 self.leaders[index].propose(setup.horizon);
                 self.post_orders(index);
             }
-            Action::GiveUp(index) => {
+            Action::AbortStaging(index) => {
                 self.leaders[index].abort_staging();
                 self.post_orders(index);
             }
-            Action::Repeat(index) => {
-                self.repeats_left -= 1;
+            Action::Retransmit(index) => {
+                self.retransmissions_left -= 1;
                 self.post_orders(index);
             }
             Action::Loaded { rank, succeeded } => {
                 if let Some(map) = self.loading[rank].take()
                     && let Some(reply) = self.ranks[rank].loaded(map, succeeded)
                 {
-                    self.answer(setup, map.ballot, rank, reply);
+                    self.send_reply(setup, map.ballot, rank, reply);
                 }
             }
             Action::Step(rank) => return self.step(setup, rank),
             Action::Restart(rank) => self.restart(setup, rank),
-            Action::Learn(rank) => {
-                let number = match setup.broken {
-                    Broken::GuessesFence => 0,
+            Action::RestoreFence(rank) => {
+                let number = match setup.flaw {
+                    Flaw::GuessesFence => 0,
                     _ => self.max_granted,
                 };
                 self.ranks[rank].restore_fence(Ballot { number, proposer: 0 });
             }
             Action::NewLease => {
                 self.max_granted += 1;
-                self.lead(Ballot { number: self.max_granted, proposer: 0 });
+                self.add_leader(Ballot { number: self.max_granted, proposer: 0 });
             }
             Action::LeadWithoutStore(rank) => {
-                self.storeless_left -= 1;
+                self.storeless_terms_left -= 1;
                 let promised = self.ranks[rank].promised().unwrap_or_default();
                 let proposer = rank as u32 + 1;
-                self.lead(Ballot { number: promised.number + 1, proposer });
+                self.add_leader(Ballot { number: promised.number + 1, proposer });
             }
         }
         Ok(())
     }
 
-    fn lead(&mut self, ballot: Ballot) {
+    fn add_leader(&mut self, ballot: Ballot) {
         self.leaders.push(Leader::new(ballot, self.ranks.len()));
         self.post_orders(self.leaders.len() - 1);
     }
@@ -245,7 +247,7 @@
         }
     }
 
-    fn answer(&mut self, setup: &Setup, leader: Ballot, rank: usize, reply: Reply) {
+    fn send_reply(&mut self, setup: &Setup, leader: Ballot, rank: usize, reply: Reply) {
         if setup.late_replies {
             self.post(Message::Reply { leader, rank, reply });
         } else if !matches!(reply, Reply::Outdated(_)) {
@@ -259,7 +261,7 @@
         };
         let before = self.leaders[index].clone();
         self.leaders[index].reply(rank, reply);
-        if setup.broken == Broken::PushesRankByRank
+        if setup.flaw == Flaw::PushesRankByRank
             && let Reply::Staged(map) = reply
         {
             for other in 0..self.ranks.len() {
@@ -273,7 +275,7 @@
 
     fn step(&mut self, setup: &Setup, rank: usize) -> Result<(), Split> {
         let step = self.ranks[rank].state().step;
-        let ignores = setup.broken == Broken::IgnoresHold;
+        let ignores = setup.flaw == Flaw::IgnoresHold;
         if ignores && self.ranks[rank].gate() == Gate::Hold {
             let map = self.ranks[rank].state().armed.expect("held").map;
             let ballot = self.ranks[rank].promised().unwrap_or_default();
@@ -305,15 +307,14 @@
     }
 
     fn post(&mut self, message: Message) {
-        // A leader that hears that it is outdated stops, as one does that is never scheduled again.
+        // A leader that receives `Outdated` stops, like one that is not scheduled again.
         let outdated = matches!(message, Message::Reply { reply: Reply::Outdated(_), .. });
         if !outdated && !self.messages.contains(&message) {
             self.messages.push(message);
         }
     }
 
-    /// Whether a new leader, with everybody reachable, gets the group stepping again, all ranks on
-    /// one map.
+    /// Whether a new leader that reaches all ranks can settle, so that all ranks may run steps.
     pub fn recovers(&self, setup: &Setup) -> bool {
         let mut world = self.clone();
         world.messages.clear();
@@ -322,7 +323,7 @@
             let fence = Ballot { number: world.max_granted, proposer: 0 };
             world.ranks[rank].restore_fence(fence);
         }
-        world.lead(Ballot { number: world.max_granted, proposer: 0 });
+        world.add_leader(Ballot { number: world.max_granted, proposer: 0 });
         let last = world.leaders.len() - 1;
         while let Some(message) = (!world.messages.is_empty()).then(|| world.messages.remove(0)) {
             if world.apply(setup, Action::Deliver(message)).is_err() {
@@ -335,7 +336,7 @@
     }
 }
 
-/// What a walk over all states came to.
+/// Result of a walk over all states.
 #[derive(Debug)]
 pub struct Walk {
     pub states: usize,
@@ -344,7 +345,7 @@
     pub switched: bool,
 }
 
-/// Visits every state that can be reached, or stops at the first fault; paths come with it.
+/// Visits all reachable states, or stops at the first fault and returns the path to it.
 pub fn walk(setup: &Setup) -> Walk {
     let mut seen: HashSet<u64> = HashSet::new();
     let mut parents: Vec<(usize, Option<Action>)> = vec![(0, None)];
@@ -368,7 +369,7 @@
                 continue;
             }
             switched |= next.ranks.iter().all(|rank| rank.state().current.version > 0);
-            if setup.broken == Broken::Nothing && !next.recovers(setup) {
+            if setup.flaw == Flaw::Nothing && !next.recovers(setup) {
                 let path = path(&parents, index, action);
                 return Walk { states: seen.len(), split: None, stuck: Some(path), switched };
             }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,8 @@
-//! Placement: what always holds of a plan, against slow and obvious versions; what it reacts to.
+//! Tests of placement and popularity, against slow reference implementations.
+//!
+//! Failures guarded against: a plan loses an expert or increases the skew; loads are computed
+//! wrong; noise in counts causes moves; a sudden change of load is detected late; a plan exceeds
+//! the limit of weight loads.
 
 mod support;
 
@@ -23,7 +27,7 @@
     Config { weight_skew: 1.0, weight_rebalance, load_ms: 20.0, max_loads: 64 }
 }
 
-/// A group: experts' shares, ranks, slots of each.
+/// A random group: shares of the experts, number of ranks, and slots per rank.
 fn group() -> impl Strategy<Value = (Vec<f64>, usize, usize)> {
     (2_usize..10, 1_usize..4).prop_flat_map(|(ranks, slots)| {
         let experts = slots..=(ranks * slots);
@@ -32,8 +36,8 @@
     })
 }
 
-/// Loads, counted slot by slot.
-fn slow_loads(layout: &Layout, shares: &[f64]) -> Vec<f64> {
+/// Reference implementation of the loads, counted slot by slot.
+fn reference_loads(layout: &Layout, shares: &[f64]) -> Vec<f64> {
     let ranks = (0..layout.ranks()).map(|rank| Rank(rank as u16));
     let all: Vec<&[Expert]> = ranks.map(|rank| layout.on(rank)).collect();
     let count = |expert: &Expert| all.iter().filter(|on| on.contains(expert)).count() as f64;
@@ -43,8 +47,8 @@
     all.iter().map(load).collect()
 }
 
-/// Every way to fill the slots of two ranks; the least that the slowest can have.
-fn best_of_all(shares: &[f64], slots: usize) -> f64 {
+/// The smallest skew over all layouts of two ranks.
+fn best_skew(shares: &[f64], slots: usize) -> f64 {
     let experts = shares.len();
     let subsets: Vec<Vec<Expert>> = (0_u32..1 << experts)
         .filter(|set| set.count_ones() as usize == slots)
@@ -92,7 +96,7 @@
     #[test]
     fn loads_are_those_counted_slot_by_slot((shares, ranks, slots) in group()) {
         let layout = baseline::pack(&shares, ranks, slots);
-        for (fast, slow) in layout.loads(&shares).iter().zip(slow_loads(&layout, &shares)) {
+        for (fast, slow) in layout.loads(&shares).iter().zip(reference_loads(&layout, &shares)) {
             prop_assert!((fast - slow).abs() < 1e-9);
         }
     }
@@ -102,18 +106,18 @@
         shares in proptest::collection::vec(0.1_f64..10.0, 3..6),
     ) {
         let slots = shares.len().div_ceil(2) + 1;
-        let best = best_of_all(&shares, slots);
+        let best = best_skew(&shares, slots);
         prop_assert!(best >= min_skew(&shares, 2, slots) - 1e-9);
         let mut layout = Layout::round_robin(shares.len(), 2, slots);
         let mut planner = Planner::new(config(0.0));
         planner.plan(&mut layout, &shares, &[], LASTS_MS);
         let skew = layout.skew(&shares);
         prop_assert!(skew >= best - 1e-9);
-        prop_assert!(skew <= best * 1.25 + 1e-9, "{skew} and the best is {best}");
+        prop_assert!(skew <= best * 1.25 + 1e-9, "skew {skew}, best skew {best}");
     }
 }
 
-/// A layer of 64 experts on 16 ranks; `hot` have five times the tokens of the others.
+/// Token counts of a layer of 64 experts; those in `hot` have five times as many as the others.
 fn counts(hot: &[usize], noise: f64) -> Vec<f64> {
     let mut counts: Vec<f64> =
         (0..64).map(|expert| 10_000.0 + noise * (f64::from(expert * 7 % 13) - 6.0)).collect();
@@ -182,7 +186,7 @@
     let before = layout.clone();
     assert!(Planner::new(config(1e9)).plan(&mut layout, &shares, &[], LASTS_MS).is_empty());
     assert_eq!(layout, before);
-    // The same moves are worth it where popularity lasts.
+    // At a lower weight of moves, the same moves are made.
     assert!(!Planner::new(config(1.0)).plan(&mut layout, &shares, &[], LASTS_MS).is_empty());
 }
 
--- a/crates/core/tests/schedule/links.rs
+++ b/crates/core/tests/schedule/links.rs
@@ -1,4 +1,4 @@
-//! What crosses links: frames up and down, cuts, reconnects, and what comes late.
+//! Links of the model: frames in both directions, lost and new links, and late frames.
 
 use std::collections::VecDeque;
 
@@ -18,13 +18,16 @@
     pub(super) fn deliver_up(&mut self, index: usize) {
         let Some(wire) = self.pick_wire(index, |wire| !wire.up.is_empty()) else { return };
         let Some(up) = self.wires[wire].up.pop_front() else { return };
-        let (sidecar, life) = (self.wires[wire].sidecar, self.wires[wire].life);
+        let (sidecar, actual_incarnation) =
+            (self.wires[wire].sidecar, self.wires[wire].actual_incarnation);
         let wire = match self.flaw {
             Flaw::IgnoresEpochs => self.newest_wire(wire),
             _ => wire,
         };
         let link = self.wires[wire].link;
-        if self.sidecars[sidecar].life != life || !self.wires[wire].open_at_sidecar {
+        if self.sidecars[sidecar].actual_incarnation != actual_incarnation
+            || !self.wires[wire].open_at_sidecar
+        {
             return;
         }
         let now = self.now;
@@ -68,7 +71,7 @@
     }
 
     pub(super) fn deliver_down(&mut self, index: usize) {
-        // Also what a link brought before it was cut: it may be read late.
+        // Also frames that arrived before the link was lost, since they may be read late.
         let Some(wire) = self.pick_wire(index, |wire| !wire.down.is_empty()) else { return };
         let Some(down) = self.wires[wire].down.pop_front() else { return };
         let id = match &down {
@@ -96,15 +99,15 @@
             Down::Refused { id, refusal, spent } => attempts.refused(id, refusal, spent, budget),
             Down::Settled { id, verdict } => attempts.settled(id, Some(verdict), budget),
         };
-        self.carry_out(call, next);
+        self.apply_next(call, next);
     }
 
     pub(super) fn cut(&mut self, index: usize) {
         let Some(wire) = self.pick_wire(index, |wire| wire.open_at_gateway) else { return };
-        self.lose(wire);
+        self.lose_link(wire);
     }
 
-    pub(super) fn lose(&mut self, wire: usize) {
+    pub(super) fn lose_link(&mut self, wire: usize) {
         self.wires[wire].open_at_gateway = false;
         for call in 0..self.calls.len() {
             if self.calls[call].wire != Some(wire) || self.calls[call].ended.is_some() {
@@ -113,11 +116,11 @@
             let gateway = self.calls[call].gateway;
             let id = self.calls[call].attempts.id();
             let next = self.calls[call].attempts.link_lost(id, &mut self.budgets[gateway]);
-            self.carry_out(call, next);
+            self.apply_next(call, next);
         }
     }
 
-    /// The gateway opens a new link; the old one may not have been noticed as lost by the sidecar.
+    /// The gateway opens a new link. The sidecar may not have detected the loss of the old one yet.
     pub(super) fn reconnect(&mut self, pair: usize) {
         let (gateway, sidecar) = (pair / SIDECARS, pair % SIDECARS);
         let of_pair = |wire: &Wire| wire.gateway == gateway && wire.sidecar == sidecar;
@@ -126,7 +129,7 @@
         }
         let newest = self.wires.iter().filter(|wire| of_pair(wire)).map(|wire| wire.epoch).max();
         let epoch = newest.unwrap_or(0) + 1;
-        let life = self.sidecars[sidecar].life;
+        let actual_incarnation = self.sidecars[sidecar].actual_incarnation;
         let now = self.now;
         let linking = self.sidecars[sidecar].dispatcher.link(now, gateway as u64, 7, epoch);
         let LinkOutcome::Open(link, aborted) = linking else { return };
@@ -136,7 +139,7 @@
         self.wires.push(Wire {
             gateway,
             sidecar,
-            life,
+            actual_incarnation,
             incarnation: self.sidecars[sidecar].incarnation,
             epoch,
             link,
@@ -150,7 +153,8 @@
         self.settle_over(self.wires.len() - 1);
     }
 
-    /// Requests whose link was lost ask over the new one, or give up if the sidecar is another.
+    /// Queries requests of a lost link over the new one, or settles them without a verdict if the
+    /// sidecar has a new incarnation.
     pub(super) fn settle_over(&mut self, wire: usize) {
         let (gateway, sidecar) = (self.wires[wire].gateway, self.wires[wire].sidecar);
         let incarnation = self.wires[wire].incarnation;
@@ -169,7 +173,7 @@
             } else {
                 let budget = &mut self.budgets[gateway];
                 let next = self.calls[call].attempts.settled(id, None, budget);
-                self.carry_out(call, next);
+                self.apply_next(call, next);
             }
         }
     }
@@ -179,7 +183,7 @@
         let Some(wire) = self.pick_wire(index, lost) else { return };
         self.wires[wire].open_at_sidecar = false;
         let (sidecar, link) = (self.wires[wire].sidecar, self.wires[wire].link);
-        if self.sidecars[sidecar].life != self.wires[wire].life {
+        if self.sidecars[sidecar].actual_incarnation != self.wires[wire].actual_incarnation {
             return;
         }
         for key in self.sidecars[sidecar].dispatcher.unlink(self.now, link) {
@@ -189,7 +193,7 @@
         self.pump(sidecar);
     }
 
-    /// Jobs whose request the dispatcher has taken back, since their link is gone.
+    /// Drops waiting requests that the dispatcher has dequeued because their link was lost.
     pub(super) fn forget_orphans(&mut self, sidecar: usize) {
         let wires = &self.wires;
         let current = |wire: &Wire| {
--- a/crates/core/tests/schedule/mod.rs
+++ b/crates/core/tests/schedule/mod.rs
@@ -1,5 +1,7 @@
-//! Gateways and sidecars from the core, links that are cut and come late, and a ledger of what
-//! really ran. Anything may happen at any time; the ledger judges every verdict.
+//! Model of gateways and sidecars with the core's state machines, and links that are lost or late.
+//!
+//! Events may occur in any order. A record of what really ran is compared with each verdict that a
+//! caller receives.
 
 mod links;
 
@@ -29,12 +31,12 @@
 pub const GATEWAYS: usize = 2;
 pub const SIDECARS: usize = 2;
 
-/// Body frames of a whole answer.
+/// Number of body frames of a complete answer.
 const ANSWER_FRAMES: u64 = 3;
 
 const REMEMBER: Millis = Millis(400);
 
-/// What a test lets happen next; the numbers choose whom it happens to.
+/// An event in the model. Numbers select the gateway, sidecar, link or call that is affected.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     Call { gateway: usize, kind: u8 },
@@ -69,12 +71,12 @@
     Settled { id: RequestId, verdict: Verdict },
 }
 
-/// One link, also after it was cut: what it carried may still arrive at the sidecar.
+/// One link, also after it was lost: its frames may still arrive at the sidecar.
 #[derive(Debug)]
 struct Wire {
     gateway: usize,
     sidecar: usize,
-    life: u64,
+    actual_incarnation: u64,
     incarnation: u64,
     epoch: u64,
     link: Link,
@@ -96,8 +98,8 @@
 #[derive(Debug)]
 struct Sidecar {
     dispatcher: Dispatcher,
-    life: u64,
-    /// Its life, as others see it.
+    actual_incarnation: u64,
+    /// Incarnation that it reports to others.
     incarnation: u64,
     waiting: BTreeMap<RunKey, (usize, usize, Option<Ticket>)>,
     running: Vec<Running>,
@@ -113,10 +115,10 @@
     ticket: Option<Ticket>,
     own_ticket: Option<Ticket>,
     tried: Vec<usize>,
-    /// Frames that the caller has got.
+    /// Frames that the caller has received.
     pub got: Vec<(usize, u64)>,
     pub ended: Option<End>,
-    /// How often the backend servers started it.
+    /// Number of times that backend servers started it.
     pub started: u32,
     pub finished: u32,
 }
@@ -128,17 +130,17 @@
     Gone,
 }
 
-/// What is broken on purpose, to see that the check can fail.
+/// Injected flaw, which shows that the check can fail.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Flaw {
     None,
     /// A gateway treats every request as repeatable.
     RetriesAnyError,
-    /// A sidecar takes what an older link still delivers for what the newest one says.
+    /// A sidecar handles frames of an older link as frames of the newest one.
     IgnoresEpochs,
-    /// A sidecar that was restarted passes for the one before.
+    /// A restarted sidecar reports its former incarnation.
     KeepsIncarnation,
-    /// A gateway passes on whatever arrives under the request's number.
+    /// A gateway forwards frames of any attempt of a request.
     ForwardsAnyAttempt,
 }
 
@@ -154,7 +156,7 @@
     nonce: u64,
 }
 
-fn sidecar(life: u64, incarnation: u64) -> Sidecar {
+fn sidecar(actual_incarnation: u64, incarnation: u64) -> Sidecar {
     let config = dispatch::Config {
         max_running: 2,
         max_queued: 2,
@@ -162,7 +164,13 @@
         gateway_retention: Millis(1_000),
     };
     let dispatcher = Dispatcher::new(config, incarnation);
-    Sidecar { dispatcher, life, incarnation, waiting: BTreeMap::new(), running: Vec::new() }
+    Sidecar {
+        dispatcher,
+        actual_incarnation,
+        incarnation,
+        waiting: BTreeMap::new(),
+        running: Vec::new(),
+    }
 }
 
 impl World {
@@ -206,14 +214,14 @@
         }
     }
 
-    /// What must always hold; `Err` says what does not.
+    /// Checks the invariants; `Err` names the one that is violated.
     pub fn check(&self) -> Result<(), String> {
         for (index, call) in self.calls.iter().enumerate() {
             if let Some(End::Refused(refusal)) = call.ended
                 && refusal.verdict == Verdict::NotRun
                 && call.started > 0
             {
-                return Err(format!("call {index} was told {refusal:?}, and ran"));
+                return Err(format!("call {index} received {refusal:?}, and ran"));
             }
             if self.jobs[call.job] != RetryPolicy::Unrestricted && call.started > 1 {
                 return Err(format!("call {index} is not repeatable and ran {}x", call.started));
@@ -222,11 +230,11 @@
             let in_order = frames.iter().enumerate().all(|(at, found)| at as u64 == *found);
             let own = call.got.iter().all(|(of, _)| *of == index);
             if !in_order || !own {
-                return Err(format!("call {index} got {:?}", call.got));
+                return Err(format!("call {index} received frames {:?}", call.got));
             }
             let whole = frames.len() as u64 == ANSWER_FRAMES;
             if call.ended == Some(End::Whole) && !whole {
-                return Err(format!("call {index} is told whole after {frames:?}"));
+                return Err(format!("call {index} ended as complete after {frames:?}"));
             }
         }
         for (job, retry_policy) in self.jobs.iter().enumerate() {
@@ -246,7 +254,7 @@
             _ => RetryPolicy::Never,
         };
         let own_ticket = match retry_policy {
-            RetryPolicy::Never => Some(self.mint(usize::from(kind) % SIDECARS)),
+            RetryPolicy::Never => Some(self.issue_ticket(usize::from(kind) % SIDECARS)),
             _ => None,
         };
         self.jobs.push(retry_policy);
@@ -286,10 +294,10 @@
         });
         let call = self.calls.len() - 1;
         let id = self.calls[call].attempts.id();
-        self.carry_out(call, Next::Send(id));
+        self.apply_next(call, Next::Send(id));
     }
 
-    fn mint(&mut self, sidecar: usize) -> Ticket {
+    fn issue_ticket(&mut self, sidecar: usize) -> Ticket {
         self.nonce += 1;
         Ticket {
             sidecar: sidecar.to_string(),
@@ -299,13 +307,13 @@
         }
     }
 
-    fn carry_out(&mut self, call: usize, next: Next) {
+    fn apply_next(&mut self, call: usize, next: Next) {
         match next {
             Next::Send(id) => self.send(call, id),
             Next::Settle(_) | Next::Forward | Next::Ignore => {}
             Next::ForwardLast => {
                 self.calls[call].ended = Some(End::Whole);
-                self.tell(call, Up::Ack(self.calls[call].attempts.id()));
+                self.send_frame(call, Up::Ack(self.calls[call].attempts.id()));
             }
             Next::Finish(refusal) => {
                 self.calls[call].ended = Some(End::Refused(refusal));
@@ -314,12 +322,12 @@
                     Verdict::NotRun => Up::Ack(id),
                     _ => Up::Cancel(id),
                 };
-                self.tell(call, up);
+                self.send_frame(call, up);
             }
         }
     }
 
-    fn tell(&mut self, call: usize, up: Up) {
+    fn send_frame(&mut self, call: usize, up: Up) {
         if let Some(wire) = self.calls[call].wire
             && self.wires[wire].open_at_gateway
         {
@@ -330,11 +338,11 @@
     fn send(&mut self, call: usize, id: RequestId) {
         let gateway = self.calls[call].gateway;
         let chosen = self.wires.iter().position(|wire| {
-            let right = match &self.calls[call].own_ticket {
+            let is_eligible = match &self.calls[call].own_ticket {
                 Some(ticket) => ticket.sidecar == wire.sidecar.to_string(),
                 None => !self.calls[call].tried.contains(&wire.sidecar),
             };
-            wire.open_at_gateway && wire.gateway == gateway && right
+            wire.open_at_gateway && wire.gateway == gateway && is_eligible
         });
         let Some(wire) = chosen else {
             let refusal = match self.jobs[self.calls[call].job] {
@@ -342,12 +350,12 @@
                 _ => attempt::no_backend_server(Millis(1)),
             };
             let next = self.calls[call].attempts.not_routed(refusal);
-            return self.carry_out(call, next);
+            return self.apply_next(call, next);
         };
         let sidecar = self.wires[wire].sidecar;
         let ticket = match self.jobs[self.calls[call].job] {
             RetryPolicy::Unrestricted => None,
-            RetryPolicy::WithNewTicket => Some(self.mint(sidecar)),
+            RetryPolicy::WithNewTicket => Some(self.issue_ticket(sidecar)),
             RetryPolicy::Never => self.calls[call].own_ticket.clone(),
         };
         let spec = RequestSpec {
@@ -366,13 +374,13 @@
         call.attempts.sent();
     }
 
-    /// The sidecar's share of the work: starts and expires what is due.
+    /// Starts and expires requests at a sidecar until its dispatcher is idle.
     fn pump(&mut self, sidecar: usize) {
         loop {
             match self.sidecars[sidecar].dispatcher.next(self.now) {
                 dispatch::Next::Start(key) => {
                     let waiting = self.sidecars[sidecar].waiting.remove(&key);
-                    let (wire, call, ticket) = waiting.expect("what starts was waiting");
+                    let (wire, call, ticket) = waiting.expect("a started request was queued");
                     let running = Running { key, wire, call, sent: 0, ticket };
                     self.sidecars[sidecar].running.push(running);
                 }
@@ -396,7 +404,7 @@
         self.sidecars[sidecar].dispatcher.finished(self.now, key);
     }
 
-    /// The backend server gets on with one request, or refuses it, or fails.
+    /// The backend server sends a part of an answer, refuses the request, or fails.
     fn run(&mut self, sidecar: usize, pick: usize, how: u8) {
         let count = self.sidecars[sidecar].running.len();
         if count == 0 {
@@ -439,15 +447,16 @@
     }
 
     fn restart(&mut self, index: usize) {
-        let life = self.sidecars.iter().map(|sidecar| sidecar.life).max().unwrap_or(0) + 1;
+        let actual_incarnation =
+            self.sidecars.iter().map(|sidecar| sidecar.actual_incarnation).max().unwrap_or(0) + 1;
         let incarnation = match self.flaw {
             Flaw::KeepsIncarnation => self.sidecars[index].incarnation,
-            _ => life,
+            _ => actual_incarnation,
         };
-        self.sidecars[index] = sidecar(life, incarnation);
+        self.sidecars[index] = sidecar(actual_incarnation, incarnation);
         for wire in 0..self.wires.len() {
             if self.wires[wire].sidecar == index && self.wires[wire].open_at_gateway {
-                self.lose(wire);
+                self.lose_link(wire);
             }
         }
     }
@@ -470,15 +479,15 @@
     fn deadline(&mut self, call: usize) {
         if let Some(call) = self.pick_call(call) {
             let next = self.calls[call].attempts.deadline();
-            self.carry_out(call, next);
+            self.apply_next(call, next);
         }
     }
 
     fn caller_gone(&mut self, call: usize) {
         if let Some(call) = self.pick_call(call) {
             self.calls[call].ended = Some(End::Gone);
-            self.tell(call, Up::Cancel(self.calls[call].attempts.id()));
-            // Its attempts are dropped with it.
+            self.send_frame(call, Up::Cancel(self.calls[call].attempts.id()));
+            // The attempts end with the call.
             self.calls[call].attempts.deadline();
         }
     }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! What several test programs share.
+//! Proptest configuration that the test programs share.
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::FileFailurePersistence;
 use proptest::test_runner::RngSeed;
 
-/// Cases from a fixed seed: the same verdict on every run. `PROPTEST_RNG_SEED` looks elsewhere.
-/// What fails is kept in `regressions`, beside the tests, and tried first from then on.
+/// Cases from a fixed seed, for the same result on each run. `PROPTEST_RNG_SEED` sets another seed.
+/// Failing cases are stored in the file `regressions`, and are run first from then on.
 pub fn seeded(cases: u32, regressions: &'static str) -> ProptestConfig {
     let standard = ProptestConfig::default();
     let rng_seed = match standard.rng_seed {
