--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,6 +1,6 @@
 //! State machine of one request at a gateway: decides on retries and on the one final answer.
 //! Input: frames from sidecars, lost links, verdicts on attempts, and the deadline.
-//! State: the newest attempt, its phase, and the verdict on the earlier_verdict attempts.
+//! State: the newest attempt, its phase, and the verdict on the earlier attempts.
 //!
 //! Frames of the newest attempt only are forwarded, in sequence and once. A retry is made only
 //! where it cannot run a request twice that must run at most once. The verdict `not-run` is given
@@ -35,7 +35,7 @@
     /// another backend server with a new ticket, once the old ticket can never run.
     WithNewTicket,
     /// The request is not repeatable, and the caller holds its ticket: no retry. The caller may
-    /// send the ticket retry_or_finish at any time, so with a second ticket both could run.
+    /// send the ticket again at any time, so with a second ticket both could run.
     Never,
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// Ends the request because no backend server could be chosen. A time to retry after from an
-    /// earlier_verdict refusal takes precedence over the one in `refusal`.
+    /// earlier refusal takes precedence over the one in `refusal`.
     pub fn not_routed(&mut self, refusal: Refusal) -> Next {
         let retry_after = self.earliest_retry.or(refusal.retry_after);
         self.finish(Refusal { retry_after, ..refusal })
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -116,7 +116,8 @@
         let idle = |state: &Account| {
             state.in_flight == 0 && now.since(state.at) > Millis(10 * BURST_MS as u64)
         };
-        // The buckets of an account that was idle for ten bursts are full: eviction loses nothing.
+        // The buckets of an account that was idle for ten burst times are full, so eviction loses
+        // nothing.
         if self.accounts.len() > 64 && self.accounts.len().is_power_of_two() {
             self.accounts.retain(|_, state| !idle(state));
         }
@@ -124,7 +125,7 @@
 }
 
 /// Time to retry after for a wait. The wait is infinite if the account's rate is zero; the result
-/// is at capacity an hour.
+/// is at most an hour.
 fn bounded_wait(wait_ms: f64) -> Millis {
     Millis(if wait_ms.is_finite() { wait_ms.ceil().min(3.6e6) as u64 } else { 3_600_000 })
 }
--- a/crates/core/src/placement/layout.rs
+++ b/crates/core/src/placement/layout.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Rank(pub u16);
 
-/// Loading of the weights of `expert` into a slot of `rank`, in index of `replaced`.
+/// Loading of the weights of `expert` into a slot of `rank`, in place of `replaced`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Move {
     /// The rank.
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -4,9 +4,9 @@
 //!
 //! The share of each expert is averaged over the time for which it stays the same, up to a limit.
 //! The average restarts when a count deviates too far to be noise. So the estimate of a stable
-//! expert has hardly any noise, and a sudden change of load is detected with the first counts that
-//! show it. An average of fixed length would be worse in one of the two. The limit of the length
-//! makes the average follow a drift that is too slow to be detected as a change.
+//! expert has hardly any noise, and a sudden change of popularity is detected with the first counts
+//! that show it. An average of fixed length would be worse in one of these respects. The limit of
+//! the length makes the average follow a drift that is too slow to be detected as a change.
 
 /// Parameters of an estimate.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/tests/model/mod.rs
+++ b/crates/core/tests/model/mod.rs
@@ -66,9 +66,9 @@
     /// reduces the number of states. A delayed reply delays the leader's orders, and orders may be
     /// delayed in any case.
     pub late_replies: bool,
-    /// Whether the backend servers keep the fence during a restart of their sidecar.
+    /// Whether the backend servers keep the fence across a restart of their sidecar.
     pub keeps_fence: bool,
-    /// Number of times that ranks may add_leader without the store.
+    /// Number of times that ranks may lead without the store.
     pub storeless_terms: usize,
     /// Injected flaw, which shows that the check can fail.
     pub flaw: Flaw,
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Whether a new leader that reaches all ranks can settle, so that all ranks may run steps.
+    /// Whether a new leader that reaches all ranks settles on one map, and all ranks may run steps.
     pub fn recovers(&self, setup: &Setup) -> bool {
         let mut world = self.clone();
         world.messages.clear();
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Tests of placement and popularity, against slow reference implementations.
 //!
 //! Failures guarded against: a plan loses an expert or increases the skew; loads are computed
-//! wrong; noise in counts causes moves; a sudden change of load is detected late; a plan exceeds
+//! wrong; noise in counts causes moves; a sudden change of shares is detected late; a plan exceeds
 //! the limit of weight loads.
 
 mod support;
@@ -186,7 +186,7 @@
     let before = layout.clone();
     assert!(Planner::new(config(1e9)).plan(&mut layout, &shares, &[], LASTS_MS).is_empty());
     assert_eq!(layout, before);
-    // At a lower weight of moves, the same moves are made.
+    // At a lower weight of moves, moves are made.
     assert!(!Planner::new(config(1.0)).plan(&mut layout, &shares, &[], LASTS_MS).is_empty());
 }
 
--- a/crates/core/tests/schedule/links.rs
+++ b/crates/core/tests/schedule/links.rs
@@ -148,7 +148,7 @@
             open_at_gateway: true,
             open_at_sidecar: true,
         });
-        self.forget_orphans(sidecar);
+        self.drop_orphans(sidecar);
         self.pump(sidecar);
         self.settle_over(self.wires.len() - 1);
     }
@@ -189,12 +189,12 @@
         for key in self.sidecars[sidecar].dispatcher.unlink(self.now, link) {
             self.abort(sidecar, key);
         }
-        self.forget_orphans(sidecar);
+        self.drop_orphans(sidecar);
         self.pump(sidecar);
     }
 
     /// Drops waiting requests that the dispatcher has dequeued because their link was lost.
-    pub(super) fn forget_orphans(&mut self, sidecar: usize) {
+    pub(super) fn drop_orphans(&mut self, sidecar: usize) {
         let wires = &self.wires;
         let current = |wire: &Wire| {
             let newest = wires
--- a/crates/core/tests/schedule/mod.rs
+++ b/crates/core/tests/schedule/mod.rs
@@ -34,7 +34,7 @@
 /// Number of body frames of a complete answer.
 const ANSWER_FRAMES: u64 = 3;
 
-const REMEMBER: Millis = Millis(400);
+const TICKET_RETENTION: Millis = Millis(400);
 
 /// An event in the model. Numbers select the gateway, sidecar, link or call that is affected.
 #[derive(Clone, Copy, Debug)]
@@ -160,7 +160,7 @@
     let config = dispatch::Config {
         max_running: 2,
         max_queued: 2,
-        tickets: ticket_memory::Config { retention: REMEMBER, max_tickets: 6 },
+        tickets: ticket_memory::Config { retention: TICKET_RETENTION, max_tickets: 6 },
         gateway_retention: Millis(1_000),
     };
     let dispatcher = Dispatcher::new(config, incarnation);
