--- a/crates/direct/src/accept.rs
+++ b/crates/direct/src/accept.rs
@@ -17,7 +17,7 @@
 pub async fn next(listener: &TcpListener, note: impl Fn(&io::Error)) -> TcpStream {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if dial::prepare(&stream).is_ok() => return stream,
+            Ok((stream, _)) if dial::set_liveness_options(&stream).is_ok() => return stream,
             // The other side has closed it already.
             Ok(_) => {}
             Err(error) => {
--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -1,8 +1,8 @@
 //! Callers' connections: accepted, watched while they rest, and closed in order when the process
 //! stops.
 
+mod activity;
 mod body;
-mod watch;
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -30,12 +30,12 @@
 use tokio::net::TcpStream;
 
 use crate::accept;
+use crate::callers::activity::Activity;
+use crate::callers::activity::AnswerGuard;
+use crate::callers::activity::SharedActivity;
+use crate::callers::activity::TrackedConnection;
 use crate::callers::body::CallerBody;
 use crate::callers::body::Content;
-use crate::callers::watch::Activity;
-use crate::callers::watch::Guard;
-use crate::callers::watch::Watch;
-use crate::callers::watch::Watched;
 use crate::forward;
 use crate::forward::Reply;
 use crate::gateway::Gateway;
@@ -43,53 +43,58 @@
 use crate::headers;
 use crate::platform::Platform;
 use crate::relay;
-use crate::relay::BrokenOff;
+use crate::relay::TruncatedStream;
 use crate::request;
+use crate::request::ReadError;
 use crate::request::Request;
-use crate::request::Unread;
 
 /// Smallest buffer that the HTTP library takes.
-const LEAST_HEADER_BYTES: usize = 8_192;
+const MIN_HEADER_BUFFER_BYTES: usize = 8_192;
 
 /// Shortest time between two looks at a connection, however short the bounds: each look wakes a task.
-const LEAST_LOOK: Millis = Millis(100);
+const MIN_POLL_INTERVAL: Millis = Millis(100);
 
 /// Accepts callers until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
-    let note = |error: &io::Error| {
+    let log_error = |error: &io::Error| {
         gateway.journal.state(format_args!("callers are not accepted: {error}"));
     };
     loop {
-        let stream = accept::next(&listener, note).await;
+        let stream = accept::next(&listener, log_error).await;
         tokio::task::spawn_local(serve_connection(gateway.clone(), stream));
     }
 }
 
 async fn serve_connection<P: Platform>(gateway: Rc<Gateway<P>>, stream: TcpStream) {
-    let watch: Watch = Rc::new(Cell::new(Activity::Resting(gateway.now())));
+    let shared_activity: SharedActivity = Rc::new(Cell::new(Activity::Idle(gateway.now())));
     let limits = gateway.serving().limits;
-    let io = Watched { inner: TokioIo::new(stream), watch: watch.clone(), clock: gateway.clock };
+    let io = TrackedConnection {
+        inner: TokioIo::new(stream),
+        shared_activity: shared_activity.clone(),
+        clock: gateway.clock,
+    };
     let service = service_fn(|request: http::Request<Incoming>| {
-        watch.set(Activity::Answering);
-        let watch = watch.clone();
+        shared_activity.set(Activity::Answering);
+        let shared_activity = shared_activity.clone();
         let gateway = gateway.clone();
-        async move { answer(gateway, request, watch).await }
+        async move { answer(gateway, request, shared_activity).await }
     });
     let mut builder = http1::Builder::new();
-    builder.auto_date_header(false).max_buf_size(limits.header_bytes.max(LEAST_HEADER_BYTES));
+    builder.auto_date_header(false).max_buf_size(limits.header_bytes.max(MIN_HEADER_BUFFER_BYTES));
     let connection = builder.serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     // A connection that rests when the process is told to stop stays: a request may be on its way over it
     // already. Its answer closes it.
     loop {
-        let until = expiry(watch.get(), &gateway).min(gateway.now() + look_every(&gateway));
+        let until =
+            expiry(shared_activity.get(), &gateway).min(gateway.now() + poll_interval(&gateway));
         tokio::select! {
-            // A request that came while this process stood still is read first.
+            // A request that received_at while this process stood still is read first.
             biased;
             // What went wrong with the connection is the caller's to see.
             _ = connection.as_mut() => return,
             () = gateway.clock.sleep_until(until) => {
-                if expiry(watch.get(), &gateway) <= gateway.now() {
+                if expiry(shared_activity.get(), &gateway) <= gateway.now() {
                     return;
                 }
             }
@@ -97,49 +102,49 @@
     }
 }
 
-/// How often a connection's activity is looked at: the shortest bound that is to be kept.
-fn look_every<P: Platform>(gateway: &Gateway<P>) -> Millis {
-    gateway.serving().limits.header_ms.max(LEAST_LOOK)
+/// How often a connection's shared_activity is looked at: the shortest bound that is to be kept.
+fn poll_interval<P: Platform>(gateway: &Gateway<P>) -> Millis {
+    gateway.serving().limits.header_ms.max(MIN_POLL_INTERVAL)
 }
 
 fn expiry<P: Platform>(activity: Activity, gateway: &Gateway<P>) -> Millis {
     let limits = gateway.serving().limits;
     match activity {
-        Activity::Resting(since) => since + limits.idle_ms,
+        Activity::Idle(since) => since + limits.idle_ms,
         Activity::Reading(since) => since + limits.header_ms,
         Activity::Answering => gateway.now() + limits.idle_ms,
     }
 }
 
-type Answered<S, P> = Result<Response<CallerBody<S, P>>, Infallible>;
+type ServiceResult<S, P> = Result<Response<CallerBody<S, P>>, Infallible>;
 
 async fn answer<P: Platform>(
     gateway: Rc<Gateway<P>>,
     request: http::Request<Incoming>,
-    watch: Watch,
-) -> Answered<impl Stream<Item = Result<Frame<Bytes>, BrokenOff>>, P> {
-    let guard = Guard { watch, clock: gateway.clock };
+    shared_activity: SharedActivity,
+) -> ServiceResult<impl Stream<Item = Result<Frame<Bytes>, TruncatedStream>>, P> {
+    let guard = AnswerGuard { shared_activity, clock: gateway.clock };
     let in_flight = gateway.begin_request();
-    let came = gateway.now();
+    let received_at = gateway.now();
     let (parts, body) = request.into_parts();
     let id = parts.headers.get(&gateway.platform.headers().request_id).cloned();
     gateway.metrics.requests.inc();
     let (head, content) = match reply(&gateway, parts, body).await {
         Ok((_, Reply::Whole(head, body))) => {
             gateway.metrics.answered.inc();
-            (passed_on(head), Content::Whole(Some(body)))
+            (forwarded_head(head), Content::Whole(Some(body)))
         }
         Ok((request, Reply::Stream(answer, attempts))) => {
-            let head = passed_on(answer.head.clone());
+            let head = forwarded_head(answer.head.clone());
             let frames = relay::frames(gateway.clone(), request, attempts, answer);
             (head, Content::Stream(Box::pin(frames)))
         }
         Ok((_, Reply::Refused(refusal))) | Err(refusal) => {
-            note_refused(&gateway, id.as_ref(), came, &refusal);
+            record_refusal(&gateway, id.as_ref(), received_at, &refusal);
             refused(&refusal, id, &gateway)
         }
     };
-    gateway.metrics.head_ms.observe(gateway.now().since(came).0 as f64);
+    gateway.metrics.head_ms.observe(gateway.now().since(received_at).0 as f64);
     let mut response = Response::from_parts(head, CallerBody::new(content, guard, in_flight));
     if gateway.phase() == Phase::Stopping {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -163,31 +168,32 @@
             let trial = gateway.begin(request.fingerprint).await;
             request.trial =
                 trial.map_err(|(cause, left)| Refusal::not_run(cause).retry_after(left))?;
-            enter(gateway, &mut request).await?;
+            admit_stream(gateway, &mut request).await?;
             let reply = forward::forward(gateway, &request).await;
             Ok((request, reply))
         }
-        Err(Unread::Refused(refusal)) => Err(refusal),
+        Err(ReadError::Refused(refusal)) => Err(refusal),
         // Nobody is there to read it.
-        Err(Unread::BrokenOff) => Err(Refusal::not_run(Cause::Cancelled)),
+        Err(ReadError::Disconnected) => Err(Refusal::not_run(Cause::Cancelled)),
     }
 }
 
 /// Lets a stream in, after a wait if need be, where a pause between its events is owed.
-async fn enter<P: Platform>(
+async fn admit_stream<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &mut Request<P>,
 ) -> Result<(), Refusal> {
     // A permit that comes soon is waited for.
-    let bound = gateway.all_bound(&request.service).filter(|after| *after > forward::MOST_WAIT);
+    let bound =
+        gateway.all_bound(&request.service).filter(|after| *after > forward::MAX_PERMIT_WAIT);
     if let Some(after) = bound {
         return Err(Refusal::not_run(Cause::NoBackendServer).retry_after(after));
     }
     let busy = || gateway.with_pool(|pool| pool.busy_fraction(&request.service));
-    let Some(asked) = request.asks_entry(busy) else { return Ok(()) };
-    match gateway.entrance(&request.service).enter(asked).await {
-        Ok(permit) => {
-            request.permit = Some(permit);
+    let Some(entry) = request.admission_request(busy) else { return Ok(()) };
+    match gateway.entrance(&request.service).admit(entry).await {
+        Ok(admitted) => {
+            request.admitted_stream = Some(admitted);
             Ok(())
         }
         Err(after) => {
@@ -197,14 +203,14 @@
     }
 }
 
-fn note_refused<P: Platform>(
+fn record_refusal<P: Platform>(
     gateway: &Gateway<P>,
     id: Option<&HeaderValue>,
-    came: Millis,
+    received_at: Millis,
     refusal: &Refusal,
 ) {
     let shown = id.and_then(|id| id.to_str().ok()).unwrap_or("?");
-    let held_ms = gateway.now().since(came).0;
+    let held_ms = gateway.now().since(received_at).0;
     let (verdict, cause) = (refusal.verdict, refusal.cause);
     gateway.journal.request(shown, RefusedStep { held_ms, cause, verdict });
     gateway.metrics.refused.inc();
@@ -213,8 +219,8 @@
     }
 }
 
-fn passed_on(mut head: Parts) -> Parts {
-    headers::strip_connection(&mut head.headers);
+fn forwarded_head(mut head: Parts) -> Parts {
+    headers::strip_hop_by_hop(&mut head.headers);
     // What the server spoke concerns its connection only.
     head.version = http::Version::HTTP_11;
     head
--- a/crates/direct/src/callers/watch.rs
+++ b/crates/direct/src/callers/activity.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy)]
 pub(super) enum Activity {
     /// Nothing of a request has come.
-    Resting(Millis),
+    Idle(Millis),
     /// A request's head is coming.
     Reading(Millis),
     /// A request has no whole answer yet.
@@ -26,42 +26,42 @@
 }
 
 /// What a connection is at, shared by who reads from it and who answers on it.
-pub(super) type Watch = Rc<Cell<Activity>>;
+pub(super) type SharedActivity = Rc<Cell<Activity>>;
 
 /// The connection rests again once its answer is written.
-pub(super) struct Guard {
-    pub(super) watch: Watch,
+pub(super) struct AnswerGuard {
+    pub(super) shared_activity: SharedActivity,
     pub(super) clock: ProcessClock,
 }
 
-impl Drop for Guard {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
-        self.watch.set(Activity::Resting(self.clock.now()));
+        self.shared_activity.set(Activity::Idle(self.clock.now()));
     }
 }
 
 /// A connection that notes when the first bytes of a request come.
-pub(super) struct Watched {
+pub(super) struct TrackedConnection {
     pub(super) inner: TokioIo<TcpStream>,
-    pub(super) watch: Watch,
+    pub(super) shared_activity: SharedActivity,
     pub(super) clock: ProcessClock,
 }
 
-impl hyper::rt::Read for Watched {
+impl hyper::rt::Read for TrackedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
-        if let (Poll::Ready(Ok(())), Activity::Resting(_)) = (&polled, self.watch.get()) {
-            self.watch.set(Activity::Reading(self.clock.now()));
+        if let (Poll::Ready(Ok(())), Activity::Idle(_)) = (&polled, self.shared_activity.get()) {
+            self.shared_activity.set(Activity::Reading(self.clock.now()));
         }
         polled
     }
 }
 
-impl hyper::rt::Write for Watched {
+impl hyper::rt::Write for TrackedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/direct/src/callers/body.rs
+++ b/crates/direct/src/callers/body.rs
@@ -10,10 +10,10 @@
 use http_body::SizeHint;
 use hyper::body::Frame;
 
-use crate::callers::watch::Guard;
+use crate::callers::activity::AnswerGuard;
 use crate::gateway::InFlight;
 use crate::platform::Platform;
-use crate::relay::BrokenOff;
+use crate::relay::TruncatedStream;
 
 /// An answer's bytes, or the frames of its stream.
 pub(super) enum Content<S> {
@@ -24,28 +24,28 @@
 /// The body of an answer to a caller.
 pub(super) struct CallerBody<S, P: Platform> {
     content: Content<S>,
-    _guard: Guard,
+    _guard: AnswerGuard,
     _in_flight: InFlight<P>,
 }
 
 impl<S, P: Platform> CallerBody<S, P> {
     /// The request is in flight, and its connection does not rest, as long as this lives.
-    pub(super) fn new(content: Content<S>, guard: Guard, in_flight: InFlight<P>) -> Self {
+    pub(super) fn new(content: Content<S>, guard: AnswerGuard, in_flight: InFlight<P>) -> Self {
         CallerBody { content, _guard: guard, _in_flight: in_flight }
     }
 }
 
 impl<S, P: Platform> Body for CallerBody<S, P>
 where
-    S: Stream<Item = Result<Frame<Bytes>, BrokenOff>>,
+    S: Stream<Item = Result<Frame<Bytes>, TruncatedStream>>,
 {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedStream;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         match &mut self.content {
             Content::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
--- a/crates/direct/src/connections.rs
+++ b/crates/direct/src/connections.rs
@@ -70,7 +70,7 @@
     }
 
     /// Keeps a connection whose answer was read to its end, if the server keeps it.
-    pub fn keep(&self, connection: Connection) {
+    pub fn put_back(&self, connection: Connection) {
         if connection.sender.is_closed() || connection.kept.is_zero() {
             return;
         }
@@ -100,7 +100,7 @@
     ///
     /// The server cannot be reached in time.
     pub async fn open(server: Key<Server>, address: SocketAddr) -> io::Result<Connection> {
-        Connection::open_within(server, address, DIAL_TIMEOUT).await
+        Connection::open_with_timeout(server, address, DIAL_TIMEOUT).await
     }
 
     /// The same, with another bound on the time.
@@ -108,7 +108,7 @@
     /// # Errors
     ///
     /// As [`Connection::open`].
-    pub async fn open_within(
+    pub async fn open_with_timeout(
         server: Key<Server>,
         address: SocketAddr,
         timeout: Duration,
@@ -128,7 +128,7 @@
     }
 
     /// Notes how long the server keeps the connection, from the head of an answer.
-    pub fn note_answer(&mut self, headers: &HeaderMap) {
+    pub fn on_answer(&mut self, headers: &HeaderMap) {
         self.used = true;
         let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
         let told = told.and_then(|text| {
--- a/crates/direct/src/dial.rs
+++ b/crates/direct/src/dial.rs
@@ -34,7 +34,7 @@
     let stream = time::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))??;
-    prepare(&stream)?;
+    set_liveness_options(&stream)?;
     Ok(stream)
 }
 
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// The connection is closed already.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn set_liveness_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(SILENCE))?;
--- a/crates/direct/src/endpoints.rs
+++ b/crates/direct/src/endpoints.rs
@@ -36,7 +36,7 @@
 
 /// What is asked on a listener.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Question {
+pub enum QueryKind {
     /// Which gateways to use.
     Endpoints,
     /// Whether this one is ready.
@@ -45,21 +45,17 @@
     Metrics,
 }
 
-/// Answers a kind of question until the process ends.
-pub async fn serve<P: Platform>(
-    gateway: Rc<Gateway<P>>,
-    listener: TcpListener,
-    question: Question,
-) {
+/// Answers a kind of kind until the process ends.
+pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener, kind: QueryKind) {
     let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("{question:?} is not accepted: {error}"));
+        gateway.journal.state(format_args!("{kind:?} is not accepted: {error}"));
     };
     loop {
         let stream = accept::next(&listener, note).await;
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
-                let answer = answer(&gateway, &request, question);
+                let answer = answer(&gateway, &request, kind);
                 async move { Ok::<_, Infallible>(answer) }
             });
             let mut builder = http1::Builder::new();
@@ -74,20 +70,20 @@
 fn answer<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<Incoming>,
-    question: Question,
+    kind: QueryKind,
 ) -> Response<Full<Bytes>> {
     let (path, query) = (request.uri().path(), request.uri().query().unwrap_or_default());
-    match question {
-        Question::Readiness if gateway.platform.asks_for_readiness(path) => {
+    match kind {
+        QueryKind::Readiness if gateway.platform.asks_for_readiness(path) => {
             let ready = gateway.readiness() == Readiness::Ready;
             status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         }
-        Question::Metrics => Response::new(Full::new(Bytes::from(gateway.metrics.text()))),
-        Question::Endpoints => match gateway.platform.asks_for_endpoints(path, query) {
+        QueryKind::Metrics => Response::new(Full::new(Bytes::from(gateway.metrics.text()))),
+        QueryKind::Endpoints => match gateway.platform.asks_for_endpoints(path, query) {
             Some(data_centre) => endpoints(gateway, &data_centre),
             None => status(StatusCode::NOT_FOUND),
         },
-        Question::Readiness => status(StatusCode::NOT_FOUND),
+        QueryKind::Readiness => status(StatusCode::NOT_FOUND),
     }
 }
 
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -133,7 +133,7 @@
     let sent_at = gateway.now();
     let answer = connection.sender().send_request(request).await.ok()?;
     let (head, body) = answer.into_parts();
-    connection.note_answer(&head.headers);
+    connection.on_answer(&head.headers);
     match end {
         End::Engine => {
             gateway.note_asked(server, &head);
@@ -147,8 +147,8 @@
     }
     let body = body.collect().await.ok()?.to_bytes();
     match end {
-        End::Engine => gateway.connections.keep(connection),
-        End::Sidecar => gateway.sidecars.keep(connection),
+        End::Engine => gateway.connections.put_back(connection),
+        End::Sidecar => gateway.sidecars.put_back(connection),
         // One order a switch, and each through another gateway.
         End::Relay => drop(connection),
     }
@@ -194,7 +194,7 @@
 ) -> Option<(Connection, End)> {
     if let Path::Through(relay) = path {
         let at = SocketAddr::new(relay, gateway.sidecars_port);
-        let opened = Connection::open_within(server, at, SIDECAR_TIMEOUT).await;
+        let opened = Connection::open_with_timeout(server, at, SIDECAR_TIMEOUT).await;
         return Some((opened.ok()?, End::Relay));
     }
     if let Some(connection) = connect_sidecar(gateway, server).await {
@@ -231,7 +231,7 @@
     }
     let ip = gateway.with_pool(|pool| pool.server(server).listed.address.ip());
     let beside = SocketAddr::new(ip, gateway.sidecars_port);
-    Connection::open_within(server, beside, SIDECAR_TIMEOUT).await.ok()
+    Connection::open_with_timeout(server, beside, SIDECAR_TIMEOUT).await.ok()
 }
 
 /// An engine's report, if it gives one.
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -37,11 +37,11 @@
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time after a standstill in which answers that came meanwhile may wait to be read.
-const NOT_READ_YET: Millis = Millis(200);
+const READ_BACKLOG_GRACE: Millis = Millis(200);
 
 /// A server's part in a request; tells the pool how it ended, also when it is dropped on the way. Without a permit it is
 /// given back.
-pub struct Turn<P: Platform> {
+pub struct AttemptGuard<P: Platform> {
     gateway: Rc<Gateway<P>>,
     server: Key<Server>,
     /// The work of the request over that of a usual one.
@@ -50,22 +50,22 @@
     /// When its request is given up.
     deadline: Millis,
     /// How it ended, once that is known.
-    ending: Option<AttemptOutcome>,
+    outcome: Option<AttemptOutcome>,
 }
 
-impl<P: Platform> Turn<P> {
-    /// The pool gave a turn to `server`, for a request that is given up at `deadline`.
+impl<P: Platform> AttemptGuard<P> {
+    /// The pool gave a guard to `server`, for a request that is given up at `deadline`.
     pub fn new(
         gateway: Rc<Gateway<P>>,
         server: Key<Server>,
         cost: f64,
         deadline: Millis,
-    ) -> Turn<P> {
-        Turn { gateway, server, cost, permit: None, deadline, ending: None }
+    ) -> AttemptGuard<P> {
+        AttemptGuard { gateway, server, cost, permit: None, deadline, outcome: None }
     }
 
     /// Gets leave to send the request; `None` if there is none for now.
-    pub async fn permitted(mut self) -> Option<Turn<P>> {
+    pub async fn acquire_permit(mut self) -> Option<AttemptGuard<P>> {
         self.permit = Some(self.gateway.permit(self.server).await?);
         Some(self)
     }
@@ -73,7 +73,7 @@
     /// Whether its request may be sent: the server may have asked for a rest or named a limit since it was
     /// chosen, and the permit may be too old by now.
     fn may_send(&self, now: Millis) -> bool {
-        let Turn { gateway, server, permit, .. } = self;
+        let AttemptGuard { gateway, server, permit, .. } = self;
         let has_permit = permit.is_some_and(|permit| permit.is_good(now));
         gateway.with_pool(|pool| {
             pool.accepts(*server, now) && (pool.limit(*server).is_none() || has_permit)
@@ -86,12 +86,12 @@
     }
 
     /// Notes how it ended.
-    pub fn end(&mut self, ending: AttemptOutcome) {
-        self.ending = Some(ending);
+    pub fn end(&mut self, outcome: AttemptOutcome) {
+        self.outcome = Some(outcome);
     }
 }
 
-impl<P: Platform> Drop for Turn<P> {
+impl<P: Platform> Drop for AttemptGuard<P> {
     fn drop(&mut self) {
         if self.permit.is_none() {
             // Nothing was sent; its caller may have left as permits were asked for.
@@ -101,8 +101,8 @@
         // Without an answer the caller left, which says nothing of the server, or its time was over.
         let unanswered =
             if now >= self.deadline { AttemptOutcome::Lost } else { AttemptOutcome::Abandoned };
-        let ending = self.ending.unwrap_or(unanswered);
-        self.gateway.with_pool(|pool| pool.ended(self.server, ending, now));
+        let outcome = self.outcome.unwrap_or(unanswered);
+        self.gateway.with_pool(|pool| pool.ended(self.server, outcome, now));
     }
 }
 
@@ -115,15 +115,15 @@
     /// The connection that it comes on; closed if dropped.
     pub connection: Connection,
     /// The server's part in it.
-    pub turn: Turn<P>,
+    pub guard: AttemptGuard<P>,
     /// When it began.
-    pub began: Millis,
+    pub began_at: Millis,
 }
 
 impl<P: Platform> Answer<P> {
     /// The body was read to its end: the connection can serve another request.
     pub fn recycle(self, gateway: &Gateway<P>) {
-        gateway.connections.keep(self.connection);
+        gateway.connections.put_back(self.connection);
     }
 }
 
@@ -135,35 +135,35 @@
 pub async fn attempt<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
-    turn: Turn<P>,
+    guard: AttemptGuard<P>,
     after_event: Option<u64>,
 ) -> Result<Answer<P>, Fate> {
-    let mut turn = turn;
-    let sent = send(gateway, request, &turn, after_event).await;
+    let mut guard = guard;
+    let sent = send(gateway, request, &guard, after_event).await;
     let Sent { response, mut connection, reused, sent_at } = match sent {
         Ok(sent) => sent,
-        Err(NoAnswer { fate, ending }) => {
-            turn.end(ending);
+        Err(NoAnswer { fate, outcome }) => {
+            guard.end(outcome);
             return Err(fate);
         }
     };
     let (head, body) = response.into_parts();
-    connection.note_answer(&head.headers);
+    connection.on_answer(&head.headers);
     let names = gateway.platform.headers();
-    let asks_rest = note_asked(gateway, request, turn.server(), &head);
-    note_limit(gateway, request, turn.server(), &head, sent_at);
+    let asks_rest = note_asked(gateway, request, guard.server(), &head);
+    note_limit(gateway, request, guard.server(), &head, sent_at);
     if !is_answer_to(request, names, &head, reused) {
-        turn.end(AttemptOutcome::Lost);
-        let step = OtherAnswerStep { server_number: turn.server().number() };
+        guard.end(AttemptOutcome::Lost);
+        let step = OtherAnswerStep { server_number: guard.server().number() };
         gateway.journal.request(request.id_text(), step);
         return Err(Fate::MayHaveRun);
     }
-    gateway.note_lives(turn.server(), sent_at);
-    note_load(gateway, turn.server(), &head);
+    gateway.note_lives(guard.server(), sent_at);
+    note_load(gateway, guard.server(), &head);
     if is_refusal(gateway, &head) {
-        let ending = if asks_rest { AttemptOutcome::Full } else { refusal(gateway, &head) };
-        turn.end(ending);
-        if ending == AttemptOutcome::Stalled {
+        let outcome = if asks_rest { AttemptOutcome::Full } else { refusal(gateway, &head) };
+        guard.end(outcome);
+        if outcome == AttemptOutcome::Stalled {
             gateway.stalled.notify_one();
             gateway.note_out(&request.service);
         }
@@ -171,16 +171,16 @@
         return Err(Fate::NotRun);
     }
     if head.status.is_success() && !head.headers.contains_key(&names.signature) {
-        turn.end(AttemptOutcome::Lost);
+        guard.end(AttemptOutcome::Lost);
         return Err(Fate::MayHaveRun);
     }
     let failed = head.status.is_server_error();
-    turn.end(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered });
+    guard.end(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered });
     gateway.note_taken(&request.service);
-    gateway.with_pool(|pool| pool.record_answer(turn.server()));
+    gateway.with_pool(|pool| pool.record_answer(guard.server()));
     let now = gateway.now();
-    gateway.with_heads(&request.service, |heads| heads.began(turn.server(), sent_at, now));
-    Ok(Answer { head, body, connection, turn, began: now })
+    gateway.with_heads(&request.service, |heads| heads.began(guard.server(), sent_at, now));
+    Ok(Answer { head, body, connection, guard, began_at: now })
 }
 
 /// Waits until a request that was sent to a server is overtaken by others; for ever where it may
@@ -200,8 +200,8 @@
         match next {
             overtaken::Next::Wait(until) => gateway.clock.sleep_until(until).await,
             // What was answered while this process stood still has not been read yet.
-            overtaken::Next::GiveUp if gateway.stood_still(NOT_READ_YET).is_some() => {
-                time::sleep(Duration::from(NOT_READ_YET)).await;
+            overtaken::Next::GiveUp if gateway.stood_still(READ_BACKLOG_GRACE).is_some() => {
+                time::sleep(Duration::from(READ_BACKLOG_GRACE)).await;
             }
             overtaken::Next::GiveUp => return,
         }
@@ -238,16 +238,16 @@
 /// A request that got no head of an answer.
 struct NoAnswer {
     fate: Fate,
-    ending: AttemptOutcome,
+    outcome: AttemptOutcome,
 }
 
 impl NoAnswer {
     /// Nothing was sent, or the connection was lost.
     fn of_connection(unsent: bool) -> NoAnswer {
         if unsent {
-            NoAnswer { fate: Fate::NotSent, ending: AttemptOutcome::Unreachable }
+            NoAnswer { fate: Fate::NotSent, outcome: AttemptOutcome::Unreachable }
         } else {
-            NoAnswer { fate: Fate::MayHaveRun, ending: AttemptOutcome::Lost }
+            NoAnswer { fate: Fate::MayHaveRun, outcome: AttemptOutcome::Lost }
         }
     }
 }
@@ -258,10 +258,10 @@
 async fn send<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
-    turn: &Turn<P>,
+    guard: &AttemptGuard<P>,
     after_event: Option<u64>,
 ) -> Result<Sent, NoAnswer> {
-    let server = turn.server();
+    let server = guard.server();
     loop {
         let kept =
             if request.route().is_repeatable() { gateway.connections.idle(server) } else { None };
@@ -271,9 +271,9 @@
             None => open(gateway, server).await?,
         };
         let now = gateway.now();
-        if now >= request.deadline || !turn.may_send(now) {
-            gateway.connections.keep(connection);
-            return Err(NoAnswer { fate: Fate::NotSent, ending: AttemptOutcome::Abandoned });
+        if now >= request.deadline || !guard.may_send(now) {
+            gateway.connections.put_back(connection);
+            return Err(NoAnswer { fate: Fate::NotSent, outcome: AttemptOutcome::Abandoned });
         }
         let reused = connection.used();
         let message = message(gateway, request, server, after_event);
@@ -284,7 +284,7 @@
             () = overtaken(gateway, request, server, sent_at) => {
                 gateway.metrics.overtaken.inc();
                 gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
-                return Err(NoAnswer { fate: Fate::MayHaveRun, ending: AttemptOutcome::Overtaken });
+                return Err(NoAnswer { fate: Fate::MayHaveRun, outcome: AttemptOutcome::Overtaken });
             }
         };
         match answered {
@@ -407,7 +407,7 @@
     let gateway = gateway.clone();
     tokio::task::spawn_local(async move {
         if let Ok(Ok(_)) = time::timeout(DRAIN_TIMEOUT, body.collect()).await {
-            gateway.connections.keep(connection);
+            gateway.connections.put_back(connection);
         }
     });
 }
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -18,7 +18,7 @@
 
 use crate::exchange;
 use crate::exchange::Answer;
-use crate::exchange::Turn;
+use crate::exchange::AttemptGuard;
 use crate::gateway::Gateway;
 use crate::gateway::crashes::Progress;
 use crate::platform::Platform;
@@ -26,11 +26,11 @@
 
 /// Largest answer that is read whole before it is passed on. Larger ones cannot be sent again once
 /// they have begun; the users' answers have a few kilobytes.
-const WHOLE_BYTES: usize = 4 << 20;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 4 << 20;
 
 /// Longest wait for a permit, where no other server is left: an eighth of the usual objective. Who waits longer is told
 /// to come back.
-pub const MOST_WAIT: Millis = Millis(50);
+pub const MAX_PERMIT_WAIT: Millis = Millis(50);
 
 /// What the caller gets.
 pub enum Reply<P: Platform> {
@@ -78,7 +78,7 @@
         if let Some((cause, left)) = gateway.turns_away(request.fingerprint) {
             return Tried::Refused(attempts.refuse_with_retry_after(cause, left));
         }
-        let Some(turn) = next_turn(gateway, request, attempts).await else {
+        let Some(guard) = next_attempt(gateway, request, attempts).await else {
             // A rest that servers ask for, and a limit, is no outage: its end is known.
             if attempts.tried().is_empty() && gateway.all_bound(&request.service).is_none() {
                 gateway.note_out(&request.service);
@@ -88,9 +88,9 @@
                 None => refused(gateway, request, attempts.refuse(Cause::NoBackendServer)),
             };
         };
-        let server = turn.server();
+        let server = guard.server();
         attempts.begin();
-        let fate = match try_server(gateway, request, turn).await {
+        let fate = match try_server(gateway, request, guard).await {
             Outcome::Answered(answer) => return answer,
             Outcome::Failed(head, body) => {
                 failure = Some((head, body));
@@ -135,9 +135,9 @@
 async fn try_server<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
-    turn: Turn<P>,
+    guard: AttemptGuard<P>,
 ) -> Outcome<P> {
-    let answer = match exchange::attempt(gateway, request, turn, None).await {
+    let answer = match exchange::attempt(gateway, request, guard, None).await {
         Ok(answer) => answer,
         Err(fate) => return Outcome::Unanswered(fate),
     };
@@ -151,23 +151,23 @@
     }
 }
 
-/// A turn of a server that was not tried yet. One that names a limit has it only with a permit, which may have to be
+/// A guard of a server that was not tried yet. One that names a limit has it only with a permit, which may have to be
 /// asked for.
-pub async fn next_turn<P: Platform>(
+pub async fn next_attempt<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
     attempts: &Attempts,
-) -> Option<Turn<P>> {
+) -> Option<AttemptGuard<P>> {
     let (service, cost) = (&request.service, request.cost);
-    let give_up_at = gateway.now() + MOST_WAIT;
+    let give_up_at = gateway.now() + MAX_PERMIT_WAIT;
     loop {
         let now = gateway.now();
         let chosen = gateway
             .with_pool(|pool| pool.choose(service, attempts.tried(), cost, now, &mut rand::rng()));
         if let Some(server) = chosen {
-            let turn = Turn::new(gateway.clone(), server, cost, request.deadline);
-            match turn.permitted().await {
-                Some(turn) => return Some(turn),
+            let guard = AttemptGuard::new(gateway.clone(), server, cost, request.deadline);
+            match guard.acquire_permit().await {
+                Some(guard) => return Some(guard),
                 None => continue,
             }
         }
@@ -185,19 +185,19 @@
     request: &Request<P>,
     answer: Answer<P>,
 ) -> Option<(Parts, Bytes)> {
-    let Answer { head, body, connection, mut turn, began } = answer;
-    match Limited::new(body, WHOLE_BYTES).collect().await {
+    let Answer { head, body, connection, mut guard, began_at } = answer;
+    match Limited::new(body, MAX_BUFFERED_ANSWER_BYTES).collect().await {
         Ok(collected) => {
-            gateway.connections.keep(connection);
+            gateway.connections.put_back(connection);
             if head.status.is_success() {
                 gateway.note_well(request.fingerprint);
             }
             Some((head, collected.to_bytes()))
         }
         Err(_) => {
-            turn.end(AttemptOutcome::Lost);
-            let progress = Progress::Running(began);
-            gateway.note_broken(turn.server(), request.fingerprint, progress).await;
+            guard.end(AttemptOutcome::Lost);
+            let progress = Progress::Running(began_at);
+            gateway.note_broken(guard.server(), request.fingerprint, progress).await;
             None
         }
     }
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -51,8 +51,8 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
+use crate::admission_queue::AdmissionQueue;
 use crate::connections::Connections;
-use crate::entrance::Entrance;
 use crate::gateway::by_service::ByService;
 use crate::gateway::crashes::Found;
 use crate::gateway::findings::Reach;
@@ -145,7 +145,7 @@
     era_began_at: Cell<Option<Millis>>,
     budgets: ByService<RetryBudget>,
     outages: ByService<Outages>,
-    entrances: ByService<Rc<Entrance>>,
+    entrances: ByService<Rc<AdmissionQueue>>,
     heads: ByService<Heads>,
     budget: Cell<budget::Config>,
     /// Sidecars that gave no answer, and until when they are not asked.
@@ -414,8 +414,12 @@
     }
 
     /// Where streams of a service begin.
-    pub fn entrance(&self, service: &str) -> Rc<Entrance> {
-        self.entrances.with(service, || Entrance::new(self.clock), |entrance| entrance.clone())
+    pub fn entrance(&self, service: &str) -> Rc<AdmissionQueue> {
+        self.entrances.with(
+            service,
+            || AdmissionQueue::new(self.clock),
+            |entrance| entrance.clone(),
+        )
     }
 
     /// Does something with the answers of a service, as they began.
--- a/crates/direct/src/gateway/asked.rs
+++ b/crates/direct/src/gateway/asked.rs
@@ -34,7 +34,7 @@
         });
         if let Some(service) = all_bound {
             // Whoever waits there is told at once.
-            self.entrance(&service).let_all_go();
+            self.entrance(&service).admit_all();
         }
         Some(asked)
     }
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -203,7 +203,7 @@
         let address = self.with_pool(|pool| pool.server(server).listed.address);
         self.metrics.dialled.inc();
         match Connection::open(server, address).await {
-            Ok(connection) => self.connections.keep(connection),
+            Ok(connection) => self.connections.put_back(connection),
             Err(error) if is_refusal(&error) => self.crashed(server),
             // It may be cut off; what the list says of it decides.
             Err(_) => {}
--- a/crates/direct/src/headers.rs
+++ b/crates/direct/src/headers.rs
@@ -20,7 +20,7 @@
 const ONE_CONNECTION_TOO: [&str; 2] = ["keep-alive", "proxy-connection"];
 
 /// Removes the headers that concern one connection only.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! 1. `callers` takes connections from `accept` and watches how long they rest.
 //! 2. `request` reads one request and admits it under the configuration in force.
-//! 3. `entrance` lets a stream in as far as the passes of its service bear it.
+//! 3. `admission_queue` lets a stream in as far as the passes of its service bear it.
 //! 4. `forward` sends it, again where that is allowed, and finds its one answer.
 //! 5. `exchange` is one attempt, over a connection from `connections`.
 //! 6. `relay` passes the answer on as it comes, and takes up a broken stream elsewhere.
@@ -18,13 +18,13 @@
 //! behind one trait, [`platform::Platform`].
 
 mod accept;
+pub mod admission_queue;
 mod callers;
 mod connections;
 mod crash_keeper;
 pub mod dial;
 mod endpoints;
 pub mod engine;
-pub mod entrance;
 mod exchange;
 mod follow;
 mod forward;
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -27,7 +27,7 @@
 use crate::callers;
 use crate::crash_keeper;
 use crate::endpoints;
-use crate::endpoints::Question;
+use crate::endpoints::QueryKind;
 use crate::follow;
 use crate::gateway::Gateway;
 use crate::maps;
@@ -137,12 +137,12 @@
     }
     if !listen.metrics.is_empty() {
         let listener = bind(&listen.metrics)?;
-        tokio::task::spawn_local(endpoints::serve(gateway.clone(), listener, Question::Metrics));
+        tokio::task::spawn_local(endpoints::serve(gateway.clone(), listener, QueryKind::Metrics));
     }
-    let questions =
-        [(endpoints_listener, Question::Endpoints), (readiness_listener, Question::Readiness)];
-    for (listener, question) in questions {
-        tokio::task::spawn_local(endpoints::serve(gateway.clone(), listener, question));
+    let kinds =
+        [(endpoints_listener, QueryKind::Endpoints), (readiness_listener, QueryKind::Readiness)];
+    for (listener, kind) in kinds {
+        tokio::task::spawn_local(endpoints::serve(gateway.clone(), listener, kind));
     }
     tokio::task::spawn_local(callers::serve(gateway.clone(), callers_listener));
     tokio::task::spawn_local(peers::serve(gateway.clone(), peers_listener));
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -28,7 +28,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::entrance::Permit;
+use crate::admission_queue::AdmittedStream;
 use crate::exchange;
 use crate::exchange::Answer;
 use crate::forward;
@@ -39,19 +39,19 @@
 
 /// Silence of a server after which a stream is taken up elsewhere. The users' groups stand still
 /// for 1,500 ms when one rank is lost and callers leave after 2,000 ms.
-const SILENCE: Duration = Duration::from_millis(1_650);
+const SOURCE_IDLE_TIMEOUT: Duration = Duration::from_millis(1_650);
 
 /// The stream ended early.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BrokenOff;
+pub struct TruncatedStream;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for TruncatedStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the stream was broken off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for TruncatedStream {}
 
 struct Relay<P: Platform> {
     gateway: Rc<Gateway<P>>,
@@ -71,7 +71,7 @@
     request: Request<P>,
     attempts: Attempts,
     answer: Answer<P>,
-) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
+) -> impl Stream<Item = Result<Frame<Bytes>, TruncatedStream>> {
     // With a length told, another server's pieces would have to add up to it.
     let resumable =
         request.route().resumable && !answer.head.headers.contains_key(header::CONTENT_LENGTH);
@@ -98,17 +98,21 @@
 
 async fn next_frame<P: Platform>(
     mut relay: Relay<P>,
-) -> Option<(Result<Frame<Bytes>, BrokenOff>, Relay<P>)> {
+) -> Option<(Result<Frame<Bytes>, TruncatedStream>, Relay<P>)> {
     loop {
         if leaves_slow_server(&relay) && !resume(&mut relay, LeaveReason::Slow).await {
-            return Some((Err(BrokenOff), relay));
+            return Some((Err(TruncatedStream), relay));
         }
         match next_piece(&mut relay).await? {
             Piece::Bytes(bytes) => {
                 relay.is_running = true;
                 let passed = relay.events.push(&bytes);
                 if !passed.is_empty() {
-                    let pause = relay.request.permit.as_mut().and_then(Permit::saw_event);
+                    let pause = relay
+                        .request
+                        .admitted_stream
+                        .as_mut()
+                        .and_then(AdmittedStream::record_event);
                     if let Some(pause) = pause {
                         relay.gateway.metrics.pause_ms.observe(pause.0 as f64);
                     }
@@ -126,12 +130,12 @@
                         // Its caller comes again at once, at any gateway.
                         relay.gateway.until_told().await;
                     }
-                    return Some((Err(BrokenOff), relay));
+                    return Some((Err(TruncatedStream), relay));
                 }
             }
             Piece::Deadline => {
                 relay.source = None;
-                return Some((Err(BrokenOff), relay));
+                return Some((Err(TruncatedStream), relay));
             }
         }
     }
@@ -154,7 +158,7 @@
     // Who says nothing goes on doing so: that it crashed as this began is not to be found out at once.
     let is_starting = !relay.is_running && matches!(piece, Piece::Broken);
     let progress = if is_starting { Progress::Starting } else { Progress::Running };
-    let (server, progress) = (source.turn.server(), progress(source.began));
+    let (server, progress) = (source.guard.server(), progress(source.began_at));
     relay.gateway.note_broken(server, relay.request.fingerprint, progress).await;
 }
 
@@ -163,7 +167,7 @@
     let source = relay.source.as_mut()?;
     let (clock, deadline, resumable) =
         (relay.gateway.clock, relay.request.deadline, relay.resumable);
-    let silent_at = Instant::now() + SILENCE;
+    let silent_at = Instant::now() + SOURCE_IDLE_TIMEOUT;
     loop {
         let frame = tokio::select! {
             biased;
@@ -191,7 +195,7 @@
     if !*resumable || !attempts.allows_another() {
         return false;
     }
-    let (now, server) = (gateway.now(), source.turn.server());
+    let (now, server) = (gateway.now(), source.guard.server());
     let is_better_elsewhere = gateway.with_pool(|pool| {
         pool.is_slow(server, now)
             && pool.has_alternative(&request.service, server, attempts.tried(), now)
@@ -202,15 +206,15 @@
 /// Leaves the source, and returns its server; `None` if there is none.
 fn leave<P: Platform>(relay: &mut Relay<P>, reason: LeaveReason) -> Option<Key<Server>> {
     let mut left = relay.source.take()?;
-    left.turn.end(match reason {
+    left.guard.end(match reason {
         LeaveReason::BrokenOff => AttemptOutcome::Lost,
         LeaveReason::Slow => AttemptOutcome::Abandoned,
     });
     relay.events.discard_partial();
-    if let Some(permit) = &mut relay.request.permit {
-        permit.moved();
+    if let Some(admitted) = &mut relay.request.admitted_stream {
+        admitted.moved();
     }
-    Some(left.turn.server())
+    Some(left.guard.server())
 }
 
 /// Takes the stream up at another server, after the last event that was passed on.
@@ -218,12 +222,12 @@
     let Some(mut server) = leave(relay, reason) else { return false };
     let mut fate = Fate::MayHaveRun;
     while goes_on(relay, server, fate, reason) {
-        let turn = forward::next_turn(&relay.gateway, &relay.request, &relay.attempts).await;
-        let Some(turn) = turn else { return false };
-        server = turn.server();
+        let guard = forward::next_attempt(&relay.gateway, &relay.request, &relay.attempts).await;
+        let Some(guard) = guard else { return false };
+        server = guard.server();
         relay.attempts.begin();
         let after = relay.events.last_id();
-        let attempt = exchange::attempt(&relay.gateway, &relay.request, turn, after);
+        let attempt = exchange::attempt(&relay.gateway, &relay.request, guard, after);
         fate = match relay.gateway.clock.timeout_at(relay.request.deadline, attempt).await {
             Ok(Ok(answer)) if answer.head.status == StatusCode::OK => {
                 relay.gateway.metrics.resumed.inc();
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -26,8 +26,8 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 
-use crate::entrance::Asked;
-use crate::entrance::Permit;
+use crate::admission_queue::AdmissionRequest;
+use crate::admission_queue::AdmittedStream;
 use crate::gateway::Gateway;
 use crate::gateway::crashes::Trial;
 use crate::headers;
@@ -40,24 +40,24 @@
 const PROMPT_TOKEN_COST: f64 = 0.037;
 
 /// Tokens that a usual request costs; what it says of a request's size is relative to this.
-const USUAL_TOKENS: f64 = 190.0;
+const TYPICAL_REQUEST_TOKENS: f64 = 190.0;
 
 /// Bounds of a request's cost, in usual requests: hints are often far off.
 const COST_RANGE: (f64, f64) = (0.25, 4.0);
 
 /// When a caller shall come back while no configuration is known, by how long the process has run: one
 /// that starts reads it within 0.1 s, but after a loss of power groups form anew meanwhile.
-const COME_BACK_UNREADY: Millis = Millis(2_000);
+const RETRY_AFTER_NOT_READY: Millis = Millis(2_000);
 
 /// The priority that goes last, as [`Route`] says.
 const LOWEST_PRIORITY: u8 = 9;
 
 /// Why there is no request.
-pub enum Unread {
+pub enum ReadError {
     /// Refuse it.
     Refused(Refusal),
     /// The caller broke off.
-    BrokenOff,
+    Disconnected,
 }
 
 /// A request, kept for as many attempts as it takes.
@@ -83,12 +83,12 @@
     pub deadline: Millis,
     /// Work that it is, in usual requests.
     pub cost: f64,
-    /// When it came.
-    pub came: Millis,
+    /// When it received_at.
+    pub received_at: Millis,
     /// Its priority at backend servers.
     pub priority: u8,
     /// Its entry as a stream, once it has one.
-    pub permit: Option<Permit>,
+    pub admitted_stream: Option<AdmittedStream>,
     /// Its trial, if it is on one.
     pub trial: Option<Trial<P>>,
 }
@@ -104,18 +104,21 @@
         self.id.to_str().unwrap_or("?")
     }
 
-    /// What it asks of its service's entrance; `None` where no pause between events is owed. `busy` tells
+    /// What it asks of its service's entrance; `None` where no pause between events is owed. `busy_fraction` tells
     /// the part of the service's slots that is taken.
-    pub fn asks_entry(&self, busy: impl FnOnce() -> f64) -> Option<Asked> {
+    pub fn admission_request(
+        &self,
+        busy_fraction: impl FnOnce() -> f64,
+    ) -> Option<AdmissionRequest> {
         let route = self.route();
         let pause = route.pause_ms.filter(|_| self.is_stream())?;
         let min_pass_ms = self.serving.services.get(&self.service)?.min_pass_ms;
-        Some(Asked {
-            owed: LatencyObjective { pause_ms: pause.0 as f64, min_pass_ms },
+        Some(AdmissionRequest {
+            objective: LatencyObjective { pause_ms: pause.0 as f64, min_pass_ms },
             priority: self.priority,
             deadline: self.deadline,
-            first_due: self.came + route.objective_ms,
-            busy: busy(),
+            first_event_due: self.received_at + route.objective_ms,
+            busy_fraction: busy_fraction(),
         })
     }
 
@@ -134,30 +137,30 @@
     gateway: &Gateway<P>,
     parts: Parts,
     body: Incoming,
-) -> Result<Request<P>, Unread> {
-    let came = gateway.now();
+) -> Result<Request<P>, ReadError> {
+    let received_at = gateway.now();
     let serving = gateway.serving();
     if serving.version == 0 {
         let refusal = Refusal::not_run(Cause::NotReady);
-        let left = COME_BACK_UNREADY.since(came).max(RETRY_AFTER_NO_SERVER);
-        return Err(Unread::Refused(refusal.retry_after(left)));
+        let left = RETRY_AFTER_NOT_READY.since(received_at).max(RETRY_AFTER_NO_SERVER);
+        return Err(ReadError::Refused(refusal.retry_after(left)));
     }
     let (route, account) = admit(&serving, &parts)?;
     let names = gateway.platform.headers();
     let Some(id) = parts.headers.get(&names.request_id).cloned() else {
-        return Err(Unread::Refused(Refusal::not_run(Cause::BadRequest)));
+        return Err(ReadError::Refused(Refusal::not_run(Cause::BadRequest)));
     };
     let body = read_body(body, serving.limits.body_bytes).await?;
     let found = serving.route(route);
     let waits = headers::number(&parts.headers, &names.deadline_ms).map(Millis);
-    let deadline = came + waits.unwrap_or(found.timeout_ms).min(found.timeout_ms);
+    let deadline = received_at + waits.unwrap_or(found.timeout_ms).min(found.timeout_ms);
     let service = found.draw(&mut rand::rng()).unwrap_or_default().to_owned();
     let cost = cost(&parts.headers, names);
     let uri = origin_form(&parts.uri);
     let account_name = account.map(|key| serving.account(key).name.as_str());
     let fingerprint = Fingerprint::of(&uri.to_string(), account_name, &body);
     let priority = priority(&serving, route, account);
-    let headers = onward_headers(parts.headers, names, &serving, account, priority);
+    let headers = forwarded_headers(parts.headers, names, &serving, account, priority);
     Ok(Request {
         serving,
         route,
@@ -170,46 +173,49 @@
         fingerprint,
         deadline,
         cost,
-        came,
+        received_at,
         priority,
-        permit: None,
+        admitted_stream: None,
         trial: None,
     })
 }
 
-fn admit(serving: &ServingConfig, parts: &Parts) -> Result<(RouteKey, Option<AccountKey>), Unread> {
+fn admit(
+    serving: &ServingConfig,
+    parts: &Parts,
+) -> Result<(RouteKey, Option<AccountKey>), ReadError> {
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     let shown = parts.headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
     let key = shown.and_then(|text| text.strip_prefix("Bearer ")).map(str::trim);
     serving.admit(host, parts.uri.path(), key).map_err(|denial| {
-        Unread::Refused(Refusal::not_run(match denial {
+        ReadError::Refused(Refusal::not_run(match denial {
             Denial::NoRoute => Cause::UnknownService,
             Denial::UnknownKey => Cause::UnknownKey,
         }))
     })
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, Unread> {
+async fn read_body(body: Incoming, most: usize) -> Result<Bytes, ReadError> {
     match Limited::new(body, most).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
-            Err(Unread::Refused(Refusal::not_run(Cause::TooLarge)))
+            Err(ReadError::Refused(Refusal::not_run(Cause::TooLarge)))
         }
-        Err(_) => Err(Unread::BrokenOff),
+        Err(_) => Err(ReadError::Disconnected),
     }
 }
 
 /// The headers for backend servers: without the caller's key, and with the account that it stands
 /// for, whatever the caller called itself.
-fn onward_headers(
+fn forwarded_headers(
     mut headers: HeaderMap,
     names: &HeaderNames,
     serving: &ServingConfig,
     account: Option<AccountKey>,
     priority: u8,
 ) -> HeaderMap {
-    headers::strip_connection(&mut headers);
+    headers::strip_hop_by_hop(&mut headers);
     headers.remove(header::AUTHORIZATION);
     for name in [&names.account, &names.expect_server, &names.priority, &names.deadline_ms] {
         headers.remove(name);
@@ -237,7 +243,7 @@
     let hinted = headers::number(headers, &names.length_hint);
     let answer = hinted.map_or(most, |hint| (hint as f64).min(most));
     let (least, largest) = COST_RANGE;
-    ((prompt * PROMPT_TOKEN_COST + answer) / USUAL_TOKENS).clamp(least, largest)
+    ((prompt * PROMPT_TOKEN_COST + answer) / TYPICAL_REQUEST_TOKENS).clamp(least, largest)
 }
 
 fn origin_form(uri: &Uri) -> Uri {
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -171,7 +171,7 @@
         let (mut head, body) = request.into_parts();
         let body = Limited::new(body, MOST_BYTES).collect().await;
         let mut body = body.map_err(|error| eyre!("the order cannot be read: {error}"))?.to_bytes();
-        headers::strip_connection(&mut head.headers);
+        headers::strip_hop_by_hop(&mut head.headers);
         let address = self.asked(&mut head.headers)?;
         ensure!(!(self.is_closed)(address), "the engine at {address} asked to be sent nothing");
         let since = headers::number(&head.headers, &HeaderName::from_static(SINCE_HEADER));
@@ -189,7 +189,7 @@
         let (mut head, body) = answer.into_parts();
         let body = body.collect().await?.to_bytes();
         self.kept.borrow_mut().entry(address).or_default().push(sender);
-        headers::strip_connection(&mut head.headers);
+        headers::strip_hop_by_hop(&mut head.headers);
         match since.filter(|_| head.status.is_success()) {
             Some(known) => self.tell(known, &body),
             None => Ok(Response::from_parts(head, Full::new(body))),
