--- a/crates/direct/src/admission_queue.rs
+++ b/crates/direct/src/admission_queue.rs
@@ -1,8 +1,9 @@
-//! Where streams of a service begin: at once, after a wait, or not here and now.
+//! The admission queue of a service: takes requests for streams, and admits, queues or refuses
+//! them. Its state is the service's [`Admission`], which decides, and the queued requests.
 //!
-//! [`Admission`] decides; this keeps those that wait, by priority and then by deadline, and lets the
-//! first of them in as soon as there is room. A caller that was refused once comes back with less time
-//! left, so it goes before one that comes for the first time.
+//! Queued requests are ordered by priority, then by deadline. The first one is admitted as soon as
+//! there is room. A caller that retries after a refusal has less time left until its deadline, so
+//! its request precedes new requests of the same priority.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,10 +19,10 @@
 use hooktrestle_core::direct::admission::LatencyObjective;
 use tokio::sync::oneshot;
 
-/// Who goes first: priority, deadline, then order of arrival.
+/// Order of queued requests: priority, deadline, then order of arrival.
 type QueueKey = (u8, Millis, u64);
 
-/// The queue of one service.
+/// The admission queue of one service.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     clock: ProcessClock,
@@ -30,23 +31,23 @@
     arrivals: Cell<u64>,
 }
 
-/// A stream that asks for entry.
+/// A request for a stream, before it is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// What its route and service owe.
+    /// Latency objective of its route and service.
     pub objective: LatencyObjective,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// When it is given up.
+    /// Deadline of the request.
     pub deadline: Millis,
-    /// When its first event is objective.
+    /// When its first event is due by the latency objective.
     pub first_event_due: Millis,
-    /// Part of the service's slots that is taken.
+    /// Fraction of the service's slots in use.
     pub busy_fraction: f64,
 }
 
 impl AdmissionQueue {
-    /// Nobody has entered yet.
+    /// An empty queue with no admitted streams.
     pub fn new(clock: ProcessClock) -> Rc<AdmissionQueue> {
         Rc::new(AdmissionQueue {
             clock,
@@ -56,24 +57,24 @@
         })
     }
 
-    /// Lets a stream in, at once or after a wait.
+    /// Admits a stream, at once or after a wait in the queue.
     ///
     /// # Errors
     ///
-    /// Its turn would come too late; it may come back after this time.
+    /// The wait would be too long for its objective; the caller may retry after the returned time.
     pub async fn admit(
         self: &Rc<Self>,
         request: AdmissionRequest,
     ) -> Result<AdmittedStream, Millis> {
         let now = self.clock.now();
         let left_ms = request.first_event_due.since(now).0 as f64;
-        let entry = self.admission.borrow_mut().decide(
+        let decision = self.admission.borrow_mut().decide(
             request.objective,
             left_ms,
             request.busy_fraction,
             now,
         );
-        match entry {
+        match decision {
             Decision::Admitted => return Ok(AdmittedStream::new(self.clone(), now)),
             Decision::Refused(after) => return Err(after),
             Decision::Waits => {}
@@ -85,26 +86,27 @@
         let _queued = QueuedRequest { queue: self, key };
         self.admission.borrow_mut().wait_began();
         let first_ms = self.admission.borrow().first_ms();
-        let latest = Millis(request.first_event_due.0.saturating_sub(first_ms as u64));
+        let wait_until = Millis(request.first_event_due.0.saturating_sub(first_ms as u64));
         tokio::select! {
-            permit = &mut receiver => if let Ok(permit) = permit { return Ok(permit) },
-            () = self.clock.sleep_until(latest) => {}
+            stream = &mut receiver => if let Ok(stream) = stream { return Ok(stream) },
+            () = self.clock.sleep_until(wait_until) => {}
         }
-        // The estimate was off: what was held is sent rather than held in vain.
+        // The wait took longer than estimated. The request is sent while its first event can still
+        // be in time.
         Ok(AdmittedStream::new(self.clone(), self.clock.now()))
     }
 
-    /// Lets in all that wait: no server takes requests, and they are to hear so at once.
+    /// Admits all queued requests, so that they are refused at once where no server takes requests.
     pub fn admit_all(self: &Rc<Self>) {
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
         let now = self.clock.now();
         for (_, sender) in waiting.into_values() {
-            // One that has left gives its permit back.
+            // If the receiver is gone, dropping the stream undoes its admission.
             drop(sender.send(AdmittedStream::new(self.clone(), now)));
         }
     }
 
-    /// Lets in those that wait, as far as there is room.
+    /// Admits queued requests as far as there is room.
     fn admit_waiting(self: &Rc<Self>) {
         let now = self.clock.now();
         loop {
@@ -115,13 +117,13 @@
             }
             let (_, sender) = first.remove();
             drop(waiting);
-            // One that has left gives its permit back.
+            // If the receiver is gone, dropping the stream undoes its admission.
             drop(sender.send(AdmittedStream::new(self.clone(), now)));
         }
     }
 }
 
-/// A place among those that wait.
+/// A request in the queue; dropping it removes it from the queue.
 struct QueuedRequest<'a> {
     queue: &'a AdmissionQueue,
     key: QueueKey,
@@ -134,30 +136,32 @@
     }
 }
 
-/// A stream that was let in, until this is dropped.
+/// An admitted stream; dropping it records its end and admits queued requests.
 #[derive(Debug)]
 pub struct AdmittedStream {
     queue: Rc<AdmissionQueue>,
-    since: Millis,
-    last_event: Option<Millis>,
-    /// Whether it has left the server at which it began.
+    admitted_at: Millis,
+    last_event_at: Option<Millis>,
+    /// Whether the stream has left the server on which it began.
     moved: bool,
 }
 
 impl AdmittedStream {
     fn new(queue: Rc<AdmissionQueue>, now: Millis) -> AdmittedStream {
         queue.admission.borrow_mut().began();
-        AdmittedStream { queue, since: now, last_event: None, moved: false }
+        AdmittedStream { queue, admitted_at: now, last_event_at: None, moved: false }
     }
 
-    /// An event of the stream came; returns the pause since the one before it.
+    /// Records an event of the stream and returns the time since the previous one.
     pub fn record_event(&mut self) -> Option<Millis> {
         let now = self.queue.clock.now();
-        let pause = self.last_event.replace(now).map(|last| now.since(last));
+        let pause = self.last_event_at.replace(now).map(|last| now.since(last));
         let mut admission = self.queue.admission.borrow_mut();
         match pause {
             Some(pause) => admission.record_pass(pause.0 as f64, now),
-            None if !self.moved => admission.record_first_event(now.since(self.since).0 as f64),
+            None if !self.moved => {
+                admission.record_first_event(now.since(self.admitted_at).0 as f64)
+            }
             None => {}
         }
         drop(admission);
@@ -165,17 +169,20 @@
         pause
     }
 
-    /// The stream goes on at another server: the pause says nothing of passes.
+    /// Records that the stream moves to another server: the next pause is not the length of a pass.
     pub fn moved(&mut self) {
         self.moved = true;
-        self.last_event = None;
+        self.last_event_at = None;
     }
 }
 
 impl Drop for AdmittedStream {
     fn drop(&mut self) {
-        let took = self.queue.clock.now().since(self.since).0 as f64;
-        self.queue.admission.borrow_mut().ended(self.last_event.is_some().then_some(took));
+        let duration_ms = self.queue.clock.now().since(self.admitted_at).0 as f64;
+        self.queue
+            .admission
+            .borrow_mut()
+            .ended(self.last_event_at.is_some().then_some(duration_ms));
         self.queue.admit_waiting();
     }
 }
--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -1,5 +1,6 @@
-//! Callers' connections: accepted, watched while they rest, and closed in order when the process
-//! stops.
+//! The HTTP server for callers: accepts their connections, reads requests and writes the answers.
+//! Its state is the activity of each connection. It decides when a connection is closed: after its
+//! idle or header time-out, or after its next answer while the process stops.
 
 mod activity;
 mod body;
@@ -48,16 +49,17 @@
 use crate::request::ReadError;
 use crate::request::Request;
 
-/// Smallest buffer that the HTTP library takes.
+/// Minimum buffer size that the HTTP library accepts.
 const MIN_HEADER_BUFFER_BYTES: usize = 8_192;
 
-/// Shortest time between two looks at a connection, however short the bounds: each look wakes a task.
+/// Minimum interval between two checks of a connection's time-outs, however short these are: each
+/// check wakes a task.
 const MIN_POLL_INTERVAL: Millis = Millis(100);
 
-/// Accepts callers until the process ends.
+/// Accepts callers' connections until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
     let log_error = |error: &io::Error| {
-        gateway.journal.state(format_args!("callers are not accepted: {error}"));
+        gateway.journal.state(format_args!("accepting a caller's connection failed: {error}"));
     };
     loop {
         let stream = accept::next(&listener, log_error).await;
@@ -83,15 +85,16 @@
     builder.auto_date_header(false).max_buf_size(limits.header_bytes.max(MIN_HEADER_BUFFER_BYTES));
     let connection = builder.serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
-    // A connection that rests when the process is told to stop stays: a request may be on its way over it
-    // already. Its answer closes it.
+    // An idle connection stays open when the process begins to stop, because a request may be in
+    // transit on it. The answer to that request closes it.
     loop {
         let until =
             expiry(shared_activity.get(), &gateway).min(gateway.now() + poll_interval(&gateway));
         tokio::select! {
-            // A request that received_at while this process stood still is read first.
+            // A request that arrived while this process was suspended is read before a time-out
+            // applies.
             biased;
-            // What went wrong with the connection is the caller's to see.
+            // An error of the connection affects only its caller, which notices it.
             _ = connection.as_mut() => return,
             () = gateway.clock.sleep_until(until) => {
                 if expiry(shared_activity.get(), &gateway) <= gateway.now() {
@@ -102,7 +105,8 @@
     }
 }
 
-/// How often a connection's shared_activity is looked at: the shortest bound that is to be kept.
+/// Interval at which a connection's time-outs are checked: the header time-out, which is the
+/// shortest one.
 fn poll_interval<P: Platform>(gateway: &Gateway<P>) -> Millis {
     gateway.serving().limits.header_ms.max(MIN_POLL_INTERVAL)
 }
@@ -152,8 +156,8 @@
     Ok(response)
 }
 
-/// The reply to a request, and the request for as long as its answer takes; or why it is refused
-/// before any server was tried.
+/// The reply to a request, with the request, which lives until its answer ends; or the refusal of a
+/// request that was sent to no server.
 async fn reply<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     parts: http::request::Parts,
@@ -161,7 +165,7 @@
 ) -> Result<(Request<P>, Reply<P>), Refusal> {
     match request::read(gateway, parts, body).await {
         Ok(request) if !gateway.takes(request.route().kind) => {
-            // Another gateway can take it at once.
+            // Another gateway can take the request at once.
             Err(Refusal::not_run(Cause::Leaving).retry_after(Millis::ZERO))
         }
         Ok(mut request) => {
@@ -173,25 +177,26 @@
             Ok((request, reply))
         }
         Err(ReadError::Refused(refusal)) => Err(refusal),
-        // Nobody is there to read it.
+        // The caller has disconnected, so this refusal is only logged and counted.
         Err(ReadError::Disconnected) => Err(Refusal::not_run(Cause::Cancelled)),
     }
 }
 
-/// Lets a stream in, after a wait if need be, where a pause between its events is owed.
+/// Admits a stream, after a wait if necessary, where its route has a latency objective for the
+/// pauses between events.
 async fn admit_stream<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &mut Request<P>,
 ) -> Result<(), Refusal> {
-    // A permit that comes soon is waited for.
+    // `forward` waits for a permit that becomes available within this time.
     let bound =
         gateway.all_bound(&request.service).filter(|after| *after > forward::MAX_PERMIT_WAIT);
     if let Some(after) = bound {
         return Err(Refusal::not_run(Cause::NoBackendServer).retry_after(after));
     }
     let busy = || gateway.with_pool(|pool| pool.busy_fraction(&request.service));
-    let Some(entry) = request.admission_request(busy) else { return Ok(()) };
-    match gateway.entrance(&request.service).admit(entry).await {
+    let Some(admission) = request.admission_request(busy) else { return Ok(()) };
+    match gateway.entrance(&request.service).admit(admission).await {
         Ok(admitted) => {
             request.admitted_stream = Some(admitted);
             Ok(())
@@ -209,10 +214,10 @@
     received_at: Millis,
     refusal: &Refusal,
 ) {
-    let shown = id.and_then(|id| id.to_str().ok()).unwrap_or("?");
+    let id_text = id.and_then(|id| id.to_str().ok()).unwrap_or("?");
     let held_ms = gateway.now().since(received_at).0;
     let (verdict, cause) = (refusal.verdict, refusal.cause);
-    gateway.journal.request(shown, RefusedStep { held_ms, cause, verdict });
+    gateway.journal.request(id_text, RefusedStep { held_ms, cause, verdict });
     gateway.metrics.refused.inc();
     if let Some(counter) = gateway.metrics.of_refusal(cause) {
         counter.inc();
@@ -221,7 +226,7 @@
 
 fn forwarded_head(mut head: Parts) -> Parts {
     headers::strip_hop_by_hop(&mut head.headers);
-    // What the server spoke concerns its connection only.
+    // The HTTP version of the server concerns only the connection to it.
     head.version = http::Version::HTTP_11;
     head
 }
@@ -246,7 +251,7 @@
     }
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
-    // A problem's body has only fields that JSON can hold.
+    // All fields of the body have a JSON representation.
     let body = serde_json::to_vec(&refusal.body()).unwrap_or_default();
     (response.into_parts().0, Content::Whole(Some(Bytes::from(body))))
 }
--- a/crates/direct/src/callers/activity.rs
+++ b/crates/direct/src/callers/activity.rs
@@ -1,4 +1,5 @@
-//! What a caller's connection is at: whether it rests, a head is coming, or an answer is due.
+//! The activity of a caller's connection: idle, receiving the head of a request, or answering it.
+//! Reads from the connection and the end of an answer update it; the time-outs depend on it.
 
 use std::cell::Cell;
 use std::io;
@@ -14,21 +15,21 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// What a connection is at, and since when.
+/// The activity of a connection, and since when.
 #[derive(Clone, Copy)]
 pub(super) enum Activity {
-    /// Nothing of a request has come.
+    /// No byte of a request was received.
     Idle(Millis),
-    /// A request's head is coming.
+    /// The head of a request is being received.
     Reading(Millis),
-    /// A request has no whole answer yet.
+    /// The answer to a request is not complete.
     Answering,
 }
 
-/// What a connection is at, shared by who reads from it and who answers on it.
+/// The activity of a connection, shared between its reads and its answers.
 pub(super) type SharedActivity = Rc<Cell<Activity>>;
 
-/// The connection rests again once its answer is written.
+/// Marks the connection as idle when it is dropped, after its answer was written.
 pub(super) struct AnswerGuard {
     pub(super) shared_activity: SharedActivity,
     pub(super) clock: ProcessClock,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A connection that notes when the first bytes of a request come.
+/// A connection that records when the first bytes of a request are received.
 pub(super) struct TrackedConnection {
     pub(super) inner: TokioIo<TcpStream>,
     pub(super) shared_activity: SharedActivity,
--- a/crates/direct/src/callers/body.rs
+++ b/crates/direct/src/callers/body.rs
@@ -1,4 +1,5 @@
-//! The body of an answer to a caller.
+//! The body of an answer to a caller: yields the bytes of a whole answer, or the frames of a
+//! stream. As long as it lives, its request counts as in flight and its connection is not idle.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -15,7 +16,7 @@
 use crate::platform::Platform;
 use crate::relay::TruncatedStream;
 
-/// An answer's bytes, or the frames of its stream.
+/// The bytes of a whole answer, or the frames of a stream.
 pub(super) enum Content<S> {
     Whole(Option<Bytes>),
     Stream(Pin<Box<S>>),
@@ -29,7 +30,7 @@
 }
 
 impl<S, P: Platform> CallerBody<S, P> {
-    /// The request is in flight, and its connection does not rest, as long as this lives.
+    /// Until it is dropped, the request is in flight and its connection is not idle.
     pub(super) fn new(content: Content<S>, guard: AnswerGuard, in_flight: InFlight<P>) -> Self {
         CallerBody { content, _guard: guard, _in_flight: in_flight }
     }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,4 +1,5 @@
-//! One request of a caller, read whole and admitted.
+//! One request of a caller: takes its head and body, and decides whether it is admitted under the
+//! configuration in force. An admitted request holds all that is needed for several attempts.
 
 use std::rc::Rc;
 
@@ -34,78 +35,80 @@
 use crate::platform::HeaderNames;
 use crate::platform::Platform;
 
-/// Cost of a prompt's token over that of an answer's: a token that is written takes a step of its
-/// own, and tokens of a prompt are read many at a time. From the users' engines: 1 / 74.8 ms to
-/// read one, 0.362 ms to write one.
+/// Cost of a prompt token relative to an answer token. An engine takes a step for each token that
+/// it generates, and processes many prompt tokens at once: 1 / 74.8 ms for a prompt token and 0.362
+/// ms for an answer token.
 const PROMPT_TOKEN_COST: f64 = 0.037;
 
-/// Tokens that a usual request costs; what it says of a request's size is relative to this.
+/// Cost of a typical request in answer tokens; the cost of a request is relative to it.
 const TYPICAL_REQUEST_TOKENS: f64 = 190.0;
 
-/// Bounds of a request's cost, in usual requests: hints are often far off.
+/// Bounds of the cost of a request, in typical requests. Length hints of callers are often far off.
 const COST_RANGE: (f64, f64) = (0.25, 4.0);
 
-/// When a caller shall come back while no configuration is known, by how long the process has run: one
-/// that starts reads it within 0.1 s, but after a loss of power groups form anew meanwhile.
+/// Uptime of the process at which callers are told to retry while no configuration is known. A
+/// gateway reads the configuration within 0.1 s of its start, but after a loss of power the groups
+/// form anew during that time.
 const RETRY_AFTER_NOT_READY: Millis = Millis(2_000);
 
-/// The priority that goes last, as [`Route`] says.
+/// The lowest priority, as defined by [`Route`]; 0 is the highest.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// Why there is no request.
+/// Why a request was not read.
 pub enum ReadError {
-    /// Refuse it.
+    /// The request is refused.
     Refused(Refusal),
-    /// The caller broke off.
+    /// The caller disconnected.
     Disconnected,
 }
 
-/// A request, kept for as many attempts as it takes.
+/// An admitted request, held for all of its attempts.
 pub struct Request<P: Platform> {
-    /// The configuration that it began under.
+    /// The configuration that was in force when it was received.
     pub serving: Rc<ServingConfig>,
     route: RouteKey,
-    /// Its service.
+    /// Name of the service it goes to.
     pub service: String,
-    /// Its id.
+    /// Id that the caller gave it.
     pub id: HeaderValue,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Headers as backend servers get them, but for those that differ between attempts.
+    /// Headers for backend servers, without those that differ between attempts.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
-    /// The same for each time that it comes.
+    /// Fingerprint, which is the same for each retry by the caller.
     pub fingerprint: Fingerprint,
-    /// When the caller or its route gives it up.
+    /// Deadline: that of the caller or of its route, whichever is earlier.
     pub deadline: Millis,
-    /// Work that it is, in usual requests.
+    /// Estimated work, relative to a typical request.
     pub cost: f64,
-    /// When it received_at.
+    /// When its head was received.
     pub received_at: Millis,
-    /// Its priority at backend servers.
+    /// Priority at backend servers; 0 is the highest.
     pub priority: u8,
-    /// Its entry as a stream, once it has one.
+    /// Its place among the admitted streams, if it is a stream that was admitted.
     pub admitted_stream: Option<AdmittedStream>,
-    /// Its trial, if it is on one.
+    /// Its trial, if it is a crash suspect that is tried one at a time.
     pub trial: Option<Trial<P>>,
 }
 
 impl<P: Platform> Request<P> {
-    /// Its route.
+    /// The route of the request.
     pub fn route(&self) -> &Route {
         self.serving.route(self.route)
     }
 
-    /// Its id, for logs.
+    /// Id as text, for log lines.
     pub fn id_text(&self) -> &str {
         self.id.to_str().unwrap_or("?")
     }
 
-    /// What it asks of its service's entrance; `None` where no pause between events is owed. `busy_fraction` tells
-    /// the part of the service's slots that is taken.
+    /// The request to the admission queue of its service; `None` if its route has no latency
+    /// objective for the pauses between events. `busy_fraction` returns the fraction of the
+    /// service's slots in use.
     pub fn admission_request(
         &self,
         busy_fraction: impl FnOnce() -> f64,
@@ -122,7 +125,7 @@
         })
     }
 
-    /// Whether it is answered by a stream of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route().kind == RouteKind::Stream
     }
@@ -132,7 +135,7 @@
 ///
 /// # Errors
 ///
-/// It is refused, or the caller broke off.
+/// The request is refused, or the caller disconnected.
 pub async fn read<P: Platform>(
     gateway: &Gateway<P>,
     parts: Parts,
@@ -151,10 +154,11 @@
         return Err(ReadError::Refused(Refusal::not_run(Cause::BadRequest)));
     };
     let body = read_body(body, serving.limits.body_bytes).await?;
-    let found = serving.route(route);
-    let waits = headers::number(&parts.headers, &names.deadline_ms).map(Millis);
-    let deadline = received_at + waits.unwrap_or(found.timeout_ms).min(found.timeout_ms);
-    let service = found.draw(&mut rand::rng()).unwrap_or_default().to_owned();
+    let found_route = serving.route(route);
+    let requested = headers::number(&parts.headers, &names.deadline_ms).map(Millis);
+    let deadline =
+        received_at + requested.unwrap_or(found_route.timeout_ms).min(found_route.timeout_ms);
+    let service = found_route.draw(&mut rand::rng()).unwrap_or_default().to_owned();
     let cost = cost(&parts.headers, names);
     let uri = origin_form(&parts.uri);
     let account_name = account.map(|key| serving.account(key).name.as_str());
@@ -186,8 +190,9 @@
 ) -> Result<(RouteKey, Option<AccountKey>), ReadError> {
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
-    let shown = parts.headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let key = shown.and_then(|text| text.strip_prefix("Bearer ")).map(str::trim);
+    let authorization =
+        parts.headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let key = authorization.and_then(|text| text.strip_prefix("Bearer ")).map(str::trim);
     serving.admit(host, parts.uri.path(), key).map_err(|denial| {
         ReadError::Refused(Refusal::not_run(match denial {
             Denial::NoRoute => Cause::UnknownService,
@@ -196,8 +201,8 @@
     })
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, ReadError> {
-    match Limited::new(body, most).collect().await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, ReadError> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             Err(ReadError::Refused(Refusal::not_run(Cause::TooLarge)))
@@ -206,8 +211,8 @@
     }
 }
 
-/// The headers for backend servers: without the caller's key, and with the account that it stands
-/// for, whatever the caller called itself.
+/// The headers for backend servers. The caller's key is replaced by the name of its client account;
+/// an account name that the caller sent is discarded.
 fn forwarded_headers(
     mut headers: HeaderMap,
     names: &HeaderNames,
@@ -230,20 +235,20 @@
     headers
 }
 
-/// The account's priority, or the route's.
+/// The priority of the client account if it has one, else that of the route.
 fn priority(serving: &ServingConfig, route: RouteKey, account: Option<AccountKey>) -> u8 {
-    let own = account.and_then(|account| serving.account(account).priority);
-    own.unwrap_or(serving.route(route).priority).min(LOWEST_PRIORITY)
+    let of_account = account.and_then(|account| serving.account(account).priority);
+    of_account.unwrap_or(serving.route(route).priority).min(LOWEST_PRIORITY)
 }
 
 fn cost(headers: &HeaderMap, names: &HeaderNames) -> f64 {
     let counts = headers::text(headers, &names.token_counts).unwrap_or_default();
     let mut counts = counts.split(',').filter_map(|text| text.trim().parse::<f64>().ok());
-    let (Some(prompt), Some(most)) = (counts.next(), counts.next()) else { return 1.0 };
+    let (Some(prompt), Some(max_answer)) = (counts.next(), counts.next()) else { return 1.0 };
     let hinted = headers::number(headers, &names.length_hint);
-    let answer = hinted.map_or(most, |hint| (hint as f64).min(most));
-    let (least, largest) = COST_RANGE;
-    ((prompt * PROMPT_TOKEN_COST + answer) / TYPICAL_REQUEST_TOKENS).clamp(least, largest)
+    let answer = hinted.map_or(max_answer, |hint| (hint as f64).min(max_answer));
+    let (min_cost, max_cost) = COST_RANGE;
+    ((prompt * PROMPT_TOKEN_COST + answer) / TYPICAL_REQUEST_TOKENS).clamp(min_cost, max_cost)
 }
 
 fn origin_form(uri: &Uri) -> Uri {
--- a/crates/direct/tests/admission_queue.rs
+++ b/crates/direct/tests/admission_queue.rs
@@ -1,4 +1,9 @@
-//! Streams that wait for their turn, on a clock that stands still between events.
+//! Tests of the admission queue on a paused clock.
+//!
+//! They guard against queued streams that are admitted in the wrong order, held beyond the time in
+//! which their first event can be in time, or counted after their caller has left. Ten streams run
+//! with passes just above the objective of 120 ms (121 ms: a new request is queued) or far above it
+//! (400 ms: it is refused).
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,7 +29,7 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A clock that stands still as the timers do.
+/// A clock that is paused and advanced together with the timers of the runtime.
 fn timer_clock() -> ProcessClock {
     thread_local! {
         static START: Instant = Instant::now();
@@ -49,8 +54,8 @@
     }
 }
 
-/// An queue with ten streams whose passes take this long, after others of 0.2 s each.
-async fn with_streams(
+/// A queue with ten admitted streams whose passes take `pass_ms`, after ten streams of 0.2 s each.
+async fn queue_with_streams(
     clock: ProcessClock,
     pass_ms: u64,
 ) -> (Rc<AdmissionQueue>, Vec<AdmittedStream>) {
@@ -76,7 +81,7 @@
 fn whoever_waits_is_let_in_by_priority_and_then_by_deadline() {
     run(async {
         let clock = timer_clock();
-        let (queue, mut streams) = with_streams(clock, 121).await;
+        let (queue, mut streams) = queue_with_streams(clock, 121).await;
         let order = Rc::new(RefCell::new(Vec::new()));
         for (name, priority, left_ms) in
             [("late", 1, 8_000), ("urgent", 0, 8_000), ("early", 1, 5_000)]
@@ -102,7 +107,7 @@
 fn whoever_has_waited_as_long_as_it_can_is_sent() {
     run(async {
         let clock = timer_clock();
-        let (queue, _streams) = with_streams(clock, 121).await;
+        let (queue, _streams) = queue_with_streams(clock, 121).await;
         let began = clock.now();
         assert!(queue.admit(request(clock, 1, 8_000)).await.is_ok());
         let waited = clock.now().since(began);
@@ -114,7 +119,7 @@
 fn whoever_would_wait_too_long_is_sent_away_at_once() {
     run(async {
         let clock = timer_clock();
-        let (queue, streams) = with_streams(clock, 400).await;
+        let (queue, streams) = queue_with_streams(clock, 400).await;
         let began = clock.now();
         let after = queue.admit(request(clock, 1, 8_000)).await.expect_err("ten are too many");
         assert_eq!(clock.now(), began);
@@ -128,7 +133,7 @@
 fn whoever_leaves_while_it_waits_takes_no_place() {
     run(async {
         let clock = timer_clock();
-        let (queue, mut streams) = with_streams(clock, 121).await;
+        let (queue, mut streams) = queue_with_streams(clock, 121).await;
         let admitted = Rc::new(RefCell::new(Vec::new()));
         let mut waiting = Vec::new();
         for name in ["leaves", "stays"] {
@@ -141,7 +146,7 @@
             task::yield_now().await;
         }
         assert!(admitted.borrow().is_empty(), "{admitted:?}: both wait");
-        // Its caller has closed its connection: what was done for it is dropped.
+        // The caller has closed its connection: the task that serves the request is dropped.
         waiting[0].abort();
         streams.truncate(6);
         for _ in 0..10 {
@@ -155,7 +160,7 @@
 fn whoever_waits_is_let_go_at_once_where_no_server_takes_requests() {
     run(async {
         let clock = timer_clock();
-        let (queue, _streams) = with_streams(clock, 121).await;
+        let (queue, _streams) = queue_with_streams(clock, 121).await;
         let began = clock.now();
         let waiting = [1, 0].map(|priority| {
             let queue = queue.clone();
