--- a/crates/direct/src/accept.rs
+++ b/crates/direct/src/accept.rs
@@ -1,4 +1,5 @@
-//! Connections from others, accepted one by one.
+//! Accepts TCP connections from a listener, one at a time, and sets their socket options. It keeps
+//! no state. It decides to retry after a delay when accepting fails.
 
 use std::io;
 use std::time::Duration;
@@ -9,20 +10,20 @@
 
 use crate::dial;
 
-/// Pause after a failure to accept, which is for want of descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failure to accept, which is caused by a lack of file descriptors.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The next connection, with the options that notice a silent peer. Failures to accept are told to
-/// `note`, and followed by a pause.
-pub async fn next(listener: &TcpListener, note: impl Fn(&io::Error)) -> TcpStream {
+/// Accepts the next connection and sets the options that detect an unresponsive peer. A failure to
+/// accept is passed to `log_error` and followed by a delay.
+pub async fn next(listener: &TcpListener, log_error: impl Fn(&io::Error)) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) if dial::set_liveness_options(&stream).is_ok() => return stream,
-            // The other side has closed it already.
+            // The peer has already closed the connection.
             Ok(_) => {}
             Err(error) => {
-                note(&error);
-                time::sleep(PAUSE).await;
+                log_error(&error);
+                time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/direct/src/connections.rs
+++ b/crates/direct/src/connections.rs
@@ -1,4 +1,6 @@
-//! Connections to backend servers: one request at a time on each, kept while the server keeps it.
+//! Connections to backend servers, with one request at a time on each. The pool takes connections
+//! whose answer was read to its end, and hands them out again. Its state is the idle connections;
+//! it decides how long each is reused, by the time for which the server keeps it open.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,27 +21,27 @@
 
 use crate::dial;
 
-/// Longest wait for a new connection: some round trips between the users' data centres, and one
-/// lost packet.
+/// Maximum wait for a new connection: allows for some round trips between data centres and one lost
+/// packet.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long an idle connection is used where the server does not say how long it keeps it.
-const KEPT_UNTOLD: Duration = Duration::from_secs(3);
+/// Time for which an idle connection is reused if the server advertises no keep-alive time-out.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How much earlier than the server a connection is given up, so that a request does not cross its
-/// close.
-const EARLIER: Duration = Duration::from_millis(1_000);
+/// How much earlier than the advertised time-out an idle connection is discarded, so that no
+/// request crosses the server's close.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Most idle connections to one server.
-const MOST_IDLE: usize = 4;
+/// Maximum number of idle connections to one server.
+const MAX_IDLE_PER_SERVER: usize = 4;
 
-/// A connection that one request has to itself. If dropped, it is closed.
+/// A connection that one request uses exclusively. Dropping it closes it.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     server: Key<Server>,
     used: bool,
-    kept: Duration,
+    idle_timeout: Duration,
 }
 
 struct Idle {
@@ -47,48 +49,49 @@
     until: Millis,
 }
 
-/// All connections that are idle.
+/// The pool of idle connections.
 pub struct Connections {
     clock: ProcessClock,
     idle: RefCell<HashMap<Key<Server>, Vec<Idle>>>,
 }
 
 impl Connections {
-    /// None is idle. Time asleep counts: a server keeps its end no longer for that.
+    /// An empty pool. Idle time includes suspensions of this machine, since a server closes its end
+    /// regardless of them.
     pub fn new(clock: ProcessClock) -> Connections {
         Connections { clock, idle: RefCell::default() }
     }
 
-    /// An idle connection to a server, the one used last first.
+    /// Takes the most recently used idle connection to a server.
     pub fn idle(&self, server: Key<Server>) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&server)?;
+        let of_server = idle.get_mut(&server)?;
         let now = self.clock.now();
-        kept.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-        let ready = kept.iter().rposition(|idle| idle.connection.sender.is_ready())?;
-        Some(kept.remove(ready).connection)
+        of_server.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+        let ready = of_server.iter().rposition(|idle| idle.connection.sender.is_ready())?;
+        Some(of_server.remove(ready).connection)
     }
 
-    /// Keeps a connection whose answer was read to its end, if the server keeps it.
+    /// Puts back a connection whose answer was read to its end, if the server keeps it open.
     pub fn put_back(&self, connection: Connection) {
-        if connection.sender.is_closed() || connection.kept.is_zero() {
+        if connection.sender.is_closed() || connection.idle_timeout.is_zero() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(connection.server).or_default();
-        if kept.len() >= MOST_IDLE {
+        let of_server = idle.entry(connection.server).or_default();
+        if of_server.len() >= MAX_IDLE_PER_SERVER {
             return;
         }
-        let until = self.clock.now() + Millis::from(connection.kept);
-        kept.push(Idle { connection, until });
+        let until = self.clock.now() + Millis::from(connection.idle_timeout);
+        of_server.push(Idle { connection, until });
     }
 
-    /// Closes idle connections that are over their time.
+    /// Closes idle connections whose time-out has passed.
     pub fn sweep(&self) {
         let now = self.clock.now();
-        self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, of_server| {
+            of_server.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+            !of_server.is_empty()
         });
     }
 }
@@ -98,12 +101,12 @@
     ///
     /// # Errors
     ///
-    /// The server cannot be reached in time.
+    /// The server cannot be reached within [`DIAL_TIMEOUT`].
     pub async fn open(server: Key<Server>, address: SocketAddr) -> io::Result<Connection> {
         Connection::open_with_timeout(server, address, DIAL_TIMEOUT).await
     }
 
-    /// The same, with another bound on the time.
+    /// Opens a connection with another time-out than [`DIAL_TIMEOUT`].
     ///
     /// # Errors
     ///
@@ -114,36 +117,38 @@
         timeout: Duration,
     ) -> io::Result<Connection> {
         let (sender, driver) = dial::dial_http(address, timeout).await?;
-        Ok(Connection { sender, driver, server, used: false, kept: KEPT_UNTOLD })
+        Ok(Connection { sender, driver, server, used: false, idle_timeout: DEFAULT_IDLE_TIMEOUT })
     }
 
-    /// The half that requests are sent on.
+    /// The sender for requests on this connection.
     pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         &mut self.sender
     }
 
-    /// Whether an earlier request was answered on it.
+    /// Whether an earlier request was answered on this connection.
     pub fn used(&self) -> bool {
         self.used
     }
 
-    /// Notes how long the server keeps the connection, from the head of an answer.
+    /// Marks the connection as used, and reads its keep-alive time-out from the head of an answer.
     pub fn on_answer(&mut self, headers: &HeaderMap) {
         self.used = true;
-        let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-        let told = told.and_then(|text| {
-            let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
+        let advertised = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+        let advertised = advertised.and_then(|text| {
+            let timeout =
+                text.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="));
             timeout.and_then(|seconds| seconds.trim().parse::<u64>().ok())
         });
-        if let Some(seconds) = told {
-            self.kept = Duration::from_secs(seconds).saturating_sub(EARLIER);
+        if let Some(seconds) = advertised {
+            self.idle_timeout = Duration::from_secs(seconds).saturating_sub(IDLE_TIMEOUT_MARGIN);
         }
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Closes the socket, also while an answer is under way: the server stops working on it.
+        // Closes the socket, also while an answer is being received, so that the server stops the
+        // work.
         self.driver.abort();
     }
 }
--- a/crates/direct/src/dial.rs
+++ b/crates/direct/src/dial.rs
@@ -1,4 +1,6 @@
-//! TCP connections that notice a peer which says nothing.
+//! TCP connections that detect an unresponsive peer: takes an address, or an accepted connection.
+//! It keeps no state. It decides on the socket options, by which the kernel fails a connection
+//! whose peer no longer acknowledges.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,33 +17,35 @@
 use tokio::task::AbortHandle;
 use tokio::time;
 
-/// Longest time that sent bytes stay unacknowledged, and that an idle peer may be silent. A cut
-/// peer is noticed within it; the users' links have round trips below 25 ms.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Maximum time for which sent bytes or keep-alive probes may remain unacknowledged. A peer that is
+/// cut off is detected within this time; links between data centres have round trips below 25 ms.
+const UNRESPONSIVE_PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time without traffic after which a peer is probed, and between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// Time without traffic before the first keep-alive probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a peer is gone.
-const PROBES: u32 = 2;
+/// Unanswered keep-alive probes after which the connection fails.
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Opens a connection.
 ///
 /// # Errors
 ///
-/// The peer refused, or did not answer within `timeout`.
+/// The peer refuses the connection, or does not accept it within `timeout`.
 pub async fn dial(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
     let stream = time::timeout(timeout, TcpStream::connect(address))
         .await
-        .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))??;
+        .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "connection timed out"))??;
     set_liveness_options(&stream)?;
     Ok(stream)
 }
 
-/// Opens a connection for HTTP/1.1 requests. It is driven by a task of the present local set until
-/// the sender is dropped, or the task is aborted. Closed, it is reset: what was sent and is still held on
-/// the way to a machine that stands still is taken back, so that no server reads a request whose caller
-/// has left. Where an answer was read to its end, nothing is left to be lost.
+/// Opens a connection for HTTP/1.1 requests. A task of the current local set drives it until the
+/// sender is dropped or the task is aborted.
+///
+/// The connection is reset when it is closed. This discards request bytes that are still in transit
+/// to a frozen machine, so that no server reads a request whose caller has disconnected. Once an
+/// answer was read to its end, no bytes can be lost.
 ///
 /// # Errors
 ///
@@ -55,22 +59,24 @@
     let (sender, driver) =
         http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // What went wrong is told to whoever waits for an answer on it.
+        // The request that waits for an answer on this connection receives the error.
         drop(driver.await);
     });
     Ok((sender, task.abort_handle()))
 }
 
-/// Sets the options that notice a silent peer, on a connection dialled or accepted.
+/// Sets the socket options that detect an unresponsive peer, on an opened or accepted connection.
 ///
 /// # Errors
 ///
-/// The connection is closed already.
+/// The connection is already closed.
 pub fn set_liveness_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(SILENCE))?;
-    let probes =
-        TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY).with_retries(PROBES);
+    socket.set_tcp_user_timeout(Some(UNRESPONSIVE_PEER_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
--- a/crates/direct/src/endpoints.rs
+++ b/crates/direct/src/endpoints.rs
@@ -1,4 +1,6 @@
-//! Short questions: which gateways to use, whether this one is ready, and its metrics.
+//! The HTTP listeners for queries: the list of gateways that callers can use, the readiness of this
+//! gateway, and its metrics. Takes a request's path and query and answers from the gateway's state.
+//! It decides which gateways are listed, and for how long callers may cache the list.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,34 +26,35 @@
 use crate::gateway::Gateway;
 use crate::platform::Platform;
 
-/// How long callers may keep an answer. Some keep it three times as long, so it also bounds how
-/// long a stopping gateway has callers: no longer than it takes streams.
-const KEEP_ENDPOINTS: Duration = Duration::from_secs(1);
+/// Time for which callers may cache the list of gateways. Some callers keep it three times as long,
+/// so this also bounds how long callers use a gateway that is stopping: no longer than the gateway
+/// still accepts streams.
+const ENDPOINTS_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Longest time that a connection for short questions lives.
-const CONNECTION_LIFE: Duration = Duration::from_secs(30);
+/// Maximum lifetime of a connection for queries.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Most gateways in an answer; callers hold no more.
-const MOST_ENDPOINTS: usize = 64;
+/// Maximum number of gateways in an answer; callers store no more.
+const MAX_ENDPOINTS: usize = 64;
 
-/// What is asked on a listener.
+/// The kind of query that a listener answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueryKind {
-    /// Which gateways to use.
+    /// The list of gateways for callers.
     Endpoints,
-    /// Whether this one is ready.
+    /// The readiness of this gateway.
     Readiness,
-    /// Its metrics.
+    /// The metrics of this gateway.
     Metrics,
 }
 
-/// Answers a kind of kind until the process ends.
+/// Answers queries of one kind until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener, kind: QueryKind) {
-    let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("{kind:?} is not accepted: {error}"));
+    let log_error = |error: &io::Error| {
+        gateway.journal.state(format_args!("accepting a connection for {kind:?} failed: {error}"));
     };
     loop {
-        let stream = accept::next(&listener, note).await;
+        let stream = accept::next(&listener, log_error).await;
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
@@ -61,8 +64,8 @@
             let mut builder = http1::Builder::new();
             let connection =
                 builder.auto_date_header(false).serve_connection(TokioIo::new(stream), service);
-            // What went wrong with the connection is the asker's to see.
-            drop(time::timeout(CONNECTION_LIFE, connection).await);
+            // An error of the connection affects only its client, which notices it.
+            drop(time::timeout(CONNECTION_TIMEOUT, connection).await);
         });
     }
 }
@@ -89,12 +92,12 @@
 
 fn endpoints<P: Platform>(gateway: &Gateway<P>, data_centre: &str) -> Response<Full<Bytes>> {
     let now = gateway.now();
-    let mut found = gateway.with_members(|members| {
+    let mut gateways = gateway.with_members(|members| {
         members.set_readiness(gateway.readiness());
         members.for_callers(data_centre, now)
     });
-    found.truncate(MOST_ENDPOINTS);
-    let (media_type, body) = gateway.platform.endpoints(&found, KEEP_ENDPOINTS);
+    gateways.truncate(MAX_ENDPOINTS);
+    let (media_type, body) = gateway.platform.endpoints(&gateways, ENDPOINTS_MAX_AGE);
     let mut response = Response::new(Full::new(body));
     response.headers_mut().insert(header::CONTENT_TYPE, media_type);
     response.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,5 +1,6 @@
-//! One attempt at one backend server: sent on a kept connection or a new one, up to the head of
-//! the answer.
+//! One attempt at one backend server: takes a request and a chosen server, and gives the head of
+//! the answer or the fate of the attempt. Its state is an [`AttemptGuard`] and a connection, pooled
+//! or new. It decides whether the request may be sent, and which outcome the pool records.
 
 use std::future;
 use std::rc::Rc;
@@ -33,28 +34,30 @@
 use crate::platform::Platform;
 use crate::request::Request;
 
-/// Longest time for the rest of a refusal; its bytes come with its head.
+/// Maximum time to read the body of a refusal, which arrives together with its head.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time after a standstill in which answers that came meanwhile may wait to be read.
+/// Time after a suspension of this process in which answers that arrived meanwhile may still be
+/// unread.
 const READ_BACKLOG_GRACE: Millis = Millis(200);
 
-/// A server's part in a request; tells the pool how it ended, also when it is dropped on the way. Without a permit it is
-/// given back.
+/// An attempt at a server that the pool has chosen. Dropping it reports the outcome to the pool,
+/// also when the attempt was cancelled. Without a permit, dropping it undoes the choice of the
+/// server.
 pub struct AttemptGuard<P: Platform> {
     gateway: Rc<Gateway<P>>,
     server: Key<Server>,
-    /// The work of the request over that of a usual one.
+    /// Estimated work of the request, relative to a typical request.
     cost: f64,
     permit: Option<Permit>,
-    /// When its request is given up.
+    /// Deadline of the request.
     deadline: Millis,
-    /// How it ended, once that is known.
+    /// Outcome of the attempt, once it is known.
     outcome: Option<AttemptOutcome>,
 }
 
 impl<P: Platform> AttemptGuard<P> {
-    /// The pool gave a guard to `server`, for a request that is given up at `deadline`.
+    /// An attempt at `server`, which the pool has chosen, for a request with this deadline.
     pub fn new(
         gateway: Rc<Gateway<P>>,
         server: Key<Server>,
@@ -64,14 +67,14 @@
         AttemptGuard { gateway, server, cost, permit: None, deadline, outcome: None }
     }
 
-    /// Gets leave to send the request; `None` if there is none for now.
+    /// Acquires a permit to send the request; `None` if none is available now.
     pub async fn acquire_permit(mut self) -> Option<AttemptGuard<P>> {
         self.permit = Some(self.gateway.permit(self.server).await?);
         Some(self)
     }
 
-    /// Whether its request may be sent: the server may have asked for a rest or named a limit since it was
-    /// chosen, and the permit may be too old by now.
+    /// Whether the request may still be sent. Since the server was chosen, it may have asked for a
+    /// back-off or advertised a limit, and the permit may have expired.
     fn may_send(&self, now: Millis) -> bool {
         let AttemptGuard { gateway, server, permit, .. } = self;
         let has_permit = permit.is_some_and(|permit| permit.is_good(now));
@@ -80,12 +83,12 @@
         })
     }
 
-    /// The server.
+    /// The server of the attempt.
     pub fn server(&self) -> Key<Server> {
         self.server
     }
 
-    /// Notes how it ended.
+    /// Sets the outcome that is reported to the pool.
     pub fn end(&mut self, outcome: AttemptOutcome) {
         self.outcome = Some(outcome);
     }
@@ -94,11 +97,12 @@
 impl<P: Platform> Drop for AttemptGuard<P> {
     fn drop(&mut self) {
         if self.permit.is_none() {
-            // Nothing was sent; its caller may have left as permits were asked for.
+            // Nothing was sent. The caller may have disconnected while a permit was requested.
             return self.gateway.with_pool(|pool| pool.undo_choice(self.server, self.cost));
         }
         let now = self.gateway.now();
-        // Without an answer the caller left, which says nothing of the server, or its time was over.
+        // Without an outcome, either the deadline has passed or the caller has disconnected. The
+        // latter is no evidence about the server.
         let unanswered =
             if now >= self.deadline { AttemptOutcome::Lost } else { AttemptOutcome::Abandoned };
         let outcome = self.outcome.unwrap_or(unanswered);
@@ -106,32 +110,32 @@
     }
 }
 
-/// An answer that has begun.
+/// An answer whose head was received.
 pub struct Answer<P: Platform> {
     /// Its head.
     pub head: Parts,
-    /// Its body, as it comes.
+    /// Its body, as it is received.
     pub body: Incoming,
-    /// The connection that it comes on; closed if dropped.
+    /// The connection it is received on; closed if dropped.
     pub connection: Connection,
-    /// The server's part in it.
+    /// The attempt that it answers.
     pub guard: AttemptGuard<P>,
-    /// When it began.
+    /// When its head was received.
     pub began_at: Millis,
 }
 
 impl<P: Platform> Answer<P> {
-    /// The body was read to its end: the connection can serve another request.
+    /// Returns the connection to the idle ones; the body must have been read to its end.
     pub fn recycle(self, gateway: &Gateway<P>) {
         gateway.connections.put_back(self.connection);
     }
 }
 
-/// Sends a request to a server, and waits for the head of its answer.
+/// Sends a request to a server and waits for the head of the answer.
 ///
 /// # Errors
 ///
-/// There is no answer for the caller; what became of the attempt is said.
+/// There is no answer for the caller; the error is the fate of the attempt.
 pub async fn attempt<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
@@ -150,8 +154,8 @@
     let (head, body) = response.into_parts();
     connection.on_answer(&head.headers);
     let names = gateway.platform.headers();
-    let asks_rest = note_asked(gateway, request, guard.server(), &head);
-    note_limit(gateway, request, guard.server(), &head, sent_at);
+    let asks_back_off = record_back_off(gateway, request, guard.server(), &head);
+    record_limit(gateway, request, guard.server(), &head, sent_at);
     if !is_answer_to(request, names, &head, reused) {
         guard.end(AttemptOutcome::Lost);
         let step = OtherAnswerStep { server_number: guard.server().number() };
@@ -159,9 +163,10 @@
         return Err(Fate::MayHaveRun);
     }
     gateway.note_lives(guard.server(), sent_at);
-    note_load(gateway, guard.server(), &head);
+    record_server_load(gateway, guard.server(), &head);
     if is_refusal(gateway, &head) {
-        let outcome = if asks_rest { AttemptOutcome::Full } else { refusal(gateway, &head) };
+        let outcome =
+            if asks_back_off { AttemptOutcome::Full } else { refusal_outcome(gateway, &head) };
         guard.end(outcome);
         if outcome == AttemptOutcome::Stalled {
             gateway.stalled.notify_one();
@@ -183,8 +188,8 @@
     Ok(Answer { head, body, connection, guard, began_at: now })
 }
 
-/// Waits until a request that was sent to a server is overtaken by others; for ever where it may
-/// not be sent again.
+/// Waits until a request at a server is overtaken by requests to other servers that were sent
+/// later. Never returns if the request may not be sent again.
 async fn overtaken<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<P>,
@@ -199,7 +204,7 @@
         let next = gateway.with_heads(&request.service, |heads| heads.next(server, sent_at, now));
         match next {
             overtaken::Next::Wait(until) => gateway.clock.sleep_until(until).await,
-            // What was answered while this process stood still has not been read yet.
+            // Answers that arrived while this process was suspended may not have been read yet.
             overtaken::Next::GiveUp if gateway.stood_still(READ_BACKLOG_GRACE).is_some() => {
                 time::sleep(Duration::from(READ_BACKLOG_GRACE)).await;
             }
@@ -208,7 +213,8 @@
     }
 }
 
-/// Whether an answer belongs to the request. One that does not say so can on a new connection only.
+/// Whether an answer belongs to the request. An answer without a request id can only do so on a new
+/// connection.
 fn is_answer_to<P: Platform>(
     request: &Request<P>,
     names: &HeaderNames,
@@ -219,13 +225,13 @@
     answered.map_or(!reused, |id| *id == request.id)
 }
 
-/// Whether the server says that it did not run the request.
+/// Whether the head states that the server did not run the request.
 fn is_refusal<P: Platform>(gateway: &Gateway<P>, head: &Parts) -> bool {
     head.headers.contains_key(&gateway.platform.headers().not_run)
         || gateway.platform.is_other_server(head.status.as_u16())
 }
 
-/// A request that was sent, up to the head of an answer.
+/// A request that was sent, with the head of its answer.
 struct Sent {
     response: Response<Incoming>,
     connection: Connection,
@@ -235,14 +241,14 @@
     sent_at: Millis,
 }
 
-/// A request that got no head of an answer.
+/// An attempt without the head of an answer.
 struct NoAnswer {
     fate: Fate,
     outcome: AttemptOutcome,
 }
 
 impl NoAnswer {
-    /// Nothing was sent, or the connection was lost.
+    /// For a connection that failed: before the request was sent (`unsent`), or later.
     fn of_connection(unsent: bool) -> NoAnswer {
         if unsent {
             NoAnswer { fate: Fate::NotSent, outcome: AttemptOutcome::Unreachable }
@@ -252,9 +258,9 @@
     }
 }
 
-/// Sends on an idle connection where one is left, else on a new one. Requests that must not run
-/// twice get a new one always: on a kept one they may cross its close, or meet an answer that
-/// belongs to an earlier request, and could not be sent again.
+/// Sends a request on an idle connection if there is one, else on a new one. A request that must
+/// not run twice always gets a new connection: on an idle one it may cross the server's close, or
+/// get an answer that belongs to an earlier request, and it could not be sent again.
 async fn send<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
@@ -263,10 +269,10 @@
 ) -> Result<Sent, NoAnswer> {
     let server = guard.server();
     loop {
-        let kept =
+        let pooled =
             if request.route().is_repeatable() { gateway.connections.idle(server) } else { None };
-        let fresh = kept.is_none();
-        let mut connection = match kept {
+        let fresh = pooled.is_none();
+        let mut connection = match pooled {
             Some(connection) => connection,
             None => open(gateway, server).await?,
         };
@@ -298,7 +304,7 @@
                     gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
                 }
                 if unsent && !fresh {
-                    // The server had closed the kept connection: nothing was written.
+                    // The server had closed the idle connection; nothing was written to it.
                     continue;
                 }
                 let error = error.error().to_string();
@@ -336,8 +342,8 @@
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.uri.clone();
     let mut headers = request.headers.clone();
-    let left = request.deadline.since(gateway.now()).max(Millis(1));
-    headers.insert(names.deadline_ms.clone(), HeaderValue::from(left.0));
+    let remaining = request.deadline.since(gateway.now()).max(Millis(1));
+    headers.insert(names.deadline_ms.clone(), HeaderValue::from(remaining.0));
     let id = gateway.with_pool(|pool| HeaderValue::from_str(&pool.server(server).listed.id));
     if let Ok(id) = id {
         headers.insert(names.expect_server.clone(), id);
@@ -349,8 +355,8 @@
     message
 }
 
-/// Notes the load that a server tells: requests that run and requests that wait.
-fn note_load<P: Platform>(gateway: &Gateway<P>, server: Key<Server>, head: &Parts) {
+/// Records the load that a server reports: its running and its queued requests.
+fn record_server_load<P: Platform>(gateway: &Gateway<P>, server: Key<Server>, head: &Parts) {
     let Some(text) = headers::text(&head.headers, &gateway.platform.headers().load) else { return };
     let mut counts = text.split(',').filter_map(|count| count.trim().parse::<u32>().ok());
     if let (Some(running), Some(queued)) = (counts.next(), counts.next()) {
@@ -359,8 +365,9 @@
     }
 }
 
-/// Takes note of what a server asks; returns whether that is a rest.
-fn note_asked<P: Platform>(
+/// Records what a server announces in the head of an answer; returns whether it asks for a
+/// back-off.
+fn record_back_off<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<P>,
     server: Key<Server>,
@@ -372,8 +379,8 @@
     true
 }
 
-/// Takes note of how many requests a server takes, and logs it where that is news.
-fn note_limit<P: Platform>(
+/// Records the limit that a server advertises, and logs it if it has changed.
+fn record_limit<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<P>,
     server: Key<Server>,
@@ -387,22 +394,22 @@
     }
 }
 
-/// How a refusal ends the server's part.
-fn refusal<P: Platform>(gateway: &Gateway<P>, head: &Parts) -> AttemptOutcome {
+/// The outcome of an attempt that the server refused.
+fn refusal_outcome<P: Platform>(gateway: &Gateway<P>, head: &Parts) -> AttemptOutcome {
     if gateway.platform.is_other_server(head.status.as_u16()) {
         return AttemptOutcome::Replaced;
     }
-    // A server that is full tells its load; one whose group stands still has room, and refuses.
+    // A full server reports queued requests. A server whose group is stalled refuses without any.
     let load = headers::text(&head.headers, &gateway.platform.headers().load);
-    let waiting = load.and_then(|text| text.split(',').nth(1)?.trim().parse::<u32>().ok());
-    if waiting.is_some_and(|waiting| waiting > 0) {
+    let queued_requests = load.and_then(|text| text.split(',').nth(1)?.trim().parse::<u32>().ok());
+    if queued_requests.is_some_and(|queued_requests| queued_requests > 0) {
         AttemptOutcome::Full
     } else {
         AttemptOutcome::Stalled
     }
 }
 
-/// Reads a refusal to its end, so that its connection can be kept.
+/// Reads the body of a refusal to its end, so that its connection can be reused.
 fn drain<P: Platform>(gateway: &Rc<Gateway<P>>, body: Incoming, connection: Connection) {
     let gateway = gateway.clone();
     tokio::task::spawn_local(async move {
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -1,4 +1,6 @@
-//! A request's way to its one answer: attempts at servers, as often as is allowed.
+//! The attempts of one request: takes an admitted request and gives the one answer for its caller.
+//! Its state is the servers that were tried and the last failed answer. After each failed attempt
+//! it decides whether another server is tried, within the attempts and retries that are allowed.
 
 use std::rc::Rc;
 
@@ -24,25 +26,26 @@
 use crate::platform::Platform;
 use crate::request::Request;
 
-/// Largest answer that is read whole before it is passed on. Larger ones cannot be sent again once
-/// they have begun; the users' answers have a few kilobytes.
+/// Maximum size of an answer that is not a stream. It is buffered whole before it is forwarded,
+/// because the request cannot be sent again once its caller receives a part of the answer. A larger
+/// answer counts as truncated; usual ones have a few kilobytes.
 const MAX_BUFFERED_ANSWER_BYTES: usize = 4 << 20;
 
-/// Longest wait for a permit, where no other server is left: an eighth of the usual objective. Who waits longer is told
-/// to come back.
+/// Maximum wait for a permit if no other server is available: an eighth of the usual latency
+/// objective. Where the wait would be longer, the caller is told to retry later.
 pub const MAX_PERMIT_WAIT: Millis = Millis(50);
 
-/// What the caller gets.
+/// The reply to a caller.
 pub enum Reply<P: Platform> {
-    /// A whole answer of a server.
+    /// The whole answer of a server.
     Whole(Parts, Bytes),
     /// A stream of events that has begun, with the attempts that it took.
     Stream(Answer<P>, Attempts),
-    /// A refusal or failure of our own.
+    /// A refusal or failure that the gateway itself reports.
     Refused(Refusal),
 }
 
-/// Finds the answer to a request, at its deadline at the latest.
+/// Forwards a request to backend servers and returns the reply, at its deadline at the latest.
 pub async fn forward<P: Platform>(gateway: &Rc<Gateway<P>>, request: &Request<P>) -> Reply<P> {
     gateway.count_request(&request.service);
     let route = request.route();
@@ -50,14 +53,14 @@
     let trying = try_servers(gateway, request, &mut attempts);
     let tried = gateway.clock.timeout_at(request.deadline, trying).await;
     match tried {
-        Ok(Tried::Whole(head, body)) => Reply::Whole(head, body),
-        Ok(Tried::Stream(answer)) => Reply::Stream(answer, attempts),
-        Ok(Tried::Refused(refusal)) => Reply::Refused(refusal),
+        Ok(ForwardOutcome::Whole(head, body)) => Reply::Whole(head, body),
+        Ok(ForwardOutcome::Stream(answer)) => Reply::Stream(answer, attempts),
+        Ok(ForwardOutcome::Refused(refusal)) => Reply::Refused(refusal),
         Err(_) => Reply::Refused(attempts.refuse(Cause::DeadlinePassed)),
     }
 }
 
-enum Tried<P: Platform> {
+enum ForwardOutcome<P: Platform> {
     Whole(Parts, Bytes),
     Stream(Answer<P>),
     Refused(Refusal),
@@ -67,66 +70,72 @@
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
     attempts: &mut Attempts,
-) -> Tried<P> {
-    // A server's answer that says it failed, for want of a better one.
+) -> ForwardOutcome<P> {
+    // The last answer of a server that reports a failure; it is forwarded if there is no better
+    // one.
     let mut failure = None;
     loop {
-        // The machine may have been suspended since; what waits for an answer at a server waits on.
+        // The machine may have been suspended since the last check. This check does not
+        // interrupt an attempt that waits for its answer.
         if gateway.now() >= request.deadline {
-            return Tried::Refused(attempts.refuse(Cause::DeadlinePassed));
+            return ForwardOutcome::Refused(attempts.refuse(Cause::DeadlinePassed));
         }
         if let Some((cause, left)) = gateway.turns_away(request.fingerprint) {
-            return Tried::Refused(attempts.refuse_with_retry_after(cause, left));
+            return ForwardOutcome::Refused(attempts.refuse_with_retry_after(cause, left));
         }
         let Some(guard) = next_attempt(gateway, request, attempts).await else {
-            // A rest that servers ask for, and a limit, is no outage: its end is known.
+            // A back-off or an advertised limit is no outage, because its end is known.
             if attempts.tried().is_empty() && gateway.all_bound(&request.service).is_none() {
                 gateway.note_out(&request.service);
             }
             return match failure {
-                Some((head, body)) => Tried::Whole(head, body),
+                Some((head, body)) => ForwardOutcome::Whole(head, body),
                 None => refused(gateway, request, attempts.refuse(Cause::NoBackendServer)),
             };
         };
         let server = guard.server();
         attempts.begin();
         let fate = match try_server(gateway, request, guard).await {
-            Outcome::Answered(answer) => return answer,
-            Outcome::Failed(head, body) => {
+            AttemptResult::Answered(answer) => return answer,
+            AttemptResult::Failed(head, body) => {
                 failure = Some((head, body));
                 Fate::Failed
             }
-            Outcome::Unanswered(fate) => fate,
+            AttemptResult::Unanswered(fate) => fate,
         };
         let next = attempts.after_failure(server, fate, || gateway.take_repeat(&request.service));
         let (server_number, sent_number) = (server.number(), attempts.sent());
         let step = AttemptStep { server_number, sent_number, fate, next: next.step() };
         gateway.journal.request(request.id_text(), step);
         match (next, failure.take()) {
-            (Next::Retry, kept) => failure = kept,
-            (_, Some((head, body))) => return Tried::Whole(head, body),
+            (Next::Retry, last) => failure = last,
+            (_, Some((head, body))) => return ForwardOutcome::Whole(head, body),
             (Next::GiveUp(refusal), None) => return refused(gateway, request, refusal),
             (Next::PassOn, None) => {
-                return Tried::Refused(attempts.refuse(Cause::BackendFailed));
+                return ForwardOutcome::Refused(attempts.refuse(Cause::BackendFailed));
             }
         }
     }
 }
 
-/// A refusal, with a time to come back at which servers are expected to take requests again.
-fn refused<P: Platform>(gateway: &Gateway<P>, request: &Request<P>, refusal: Refusal) -> Tried<P> {
-    let may_return = refusal.retry_after.is_some();
-    match gateway.come_back(&request.service).filter(|_| may_return) {
-        Some(after) => Tried::Refused(refusal.retry_after(after)),
-        None => Tried::Refused(refusal),
+/// A refusal, with a retry time at which servers are expected to take requests again.
+fn refused<P: Platform>(
+    gateway: &Gateway<P>,
+    request: &Request<P>,
+    refusal: Refusal,
+) -> ForwardOutcome<P> {
+    let may_retry = refusal.retry_after.is_some();
+    match gateway.come_back(&request.service).filter(|_| may_retry) {
+        Some(after) => ForwardOutcome::Refused(refusal.retry_after(after)),
+        None => ForwardOutcome::Refused(refusal),
     }
 }
 
-/// What one attempt gave.
-enum Outcome<P: Platform> {
-    /// What the caller gets.
-    Answered(Tried<P>),
-    /// A whole answer that says the server failed.
+/// The result of one attempt.
+enum AttemptResult<P: Platform> {
+    /// An answer for the caller.
+    Answered(ForwardOutcome<P>),
+    /// A whole answer that reports a failure of the server.
     Failed(Parts, Bytes),
     /// No whole answer.
     Unanswered(Fate),
@@ -136,23 +145,23 @@
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
     guard: AttemptGuard<P>,
-) -> Outcome<P> {
+) -> AttemptResult<P> {
     let answer = match exchange::attempt(gateway, request, guard, None).await {
         Ok(answer) => answer,
-        Err(fate) => return Outcome::Unanswered(fate),
+        Err(fate) => return AttemptResult::Unanswered(fate),
     };
     if request.is_stream() && answer.head.status == StatusCode::OK {
-        return Outcome::Answered(Tried::Stream(answer));
+        return AttemptResult::Answered(ForwardOutcome::Stream(answer));
     }
     match whole(gateway, request, answer).await {
-        Some((head, body)) if head.status.is_server_error() => Outcome::Failed(head, body),
-        Some((head, body)) => Outcome::Answered(Tried::Whole(head, body)),
-        None => Outcome::Unanswered(Fate::MayHaveRun),
+        Some((head, body)) if head.status.is_server_error() => AttemptResult::Failed(head, body),
+        Some((head, body)) => AttemptResult::Answered(ForwardOutcome::Whole(head, body)),
+        None => AttemptResult::Unanswered(Fate::MayHaveRun),
     }
 }
 
-/// A guard of a server that was not tried yet. One that names a limit has it only with a permit, which may have to be
-/// asked for.
+/// Begins an attempt at a server that was not tried yet. A server that advertises a limit needs a
+/// permit, which may have to be requested from another gateway.
 pub async fn next_attempt<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
@@ -173,13 +182,14 @@
         }
         let next = gateway.with_pool(|pool| pool.next_permit_at(service, attempts.tried(), now));
         let next = next.filter(|at| now < give_up_at && *at < give_up_at)?;
-        // Past is where another request has asked, and its answer may come.
+        // A time in the past means that another request has asked for permits and waits for the
+        // reply.
         let until = if next > now { next } else { give_up_at };
         let _ = gateway.clock.timeout_at(until, gateway.permits_told.notified()).await;
     }
 }
 
-/// Reads an answer to its end; `None` if it was broken off.
+/// Reads an answer to its end; `None` if it was truncated.
 async fn whole<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     request: &Request<P>,
--- a/crates/direct/src/headers.rs
+++ b/crates/direct/src/headers.rs
@@ -1,11 +1,12 @@
-//! Which headers pass a gateway.
+//! HTTP headers of requests and answers that a gateway forwards: removes the hop-by-hop headers and
+//! reads values as text or numbers. It keeps no state.
 
 use http::HeaderMap;
 use http::HeaderName;
 use http::header;
 
-/// Headers that concern one connection only, beside those that `Connection` names.
-const ONE_CONNECTION: [HeaderName; 8] = [
+/// Hop-by-hop headers, in addition to those listed in `Connection`.
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::EXPECT,
     header::PROXY_AUTHENTICATE,
@@ -16,10 +17,10 @@
     header::UPGRADE,
 ];
 
-/// The same, of those that have no constant.
-const ONE_CONNECTION_TOO: [&str; 2] = ["keep-alive", "proxy-connection"];
+/// Hop-by-hop headers without a constant in the `http` crate.
+const HOP_BY_HOP_NONSTANDARD: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -27,16 +28,17 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        // These stay whatever `Connection` says: without them the message is another one.
+        // These stay even if `Connection` lists them: without them the message would change its
+        // meaning.
         .filter(|name| *name != header::HOST && *name != header::CONTENT_LENGTH)
         .collect();
     for name in &named {
         headers.remove(name);
     }
-    for name in &ONE_CONNECTION {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
-    for name in ONE_CONNECTION_TOO {
+    for name in HOP_BY_HOP_NONSTANDARD {
         headers.remove(name);
     }
 }
@@ -46,7 +48,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's value as a whole number.
+/// A header's value as an unsigned integer.
 pub fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     text(headers, name)?.trim().parse().ok()
 }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -1,9 +1,11 @@
-//! A stream of events on its way to the caller.
+//! The relay of one stream: takes the stream's bytes from a server and yields whole events to the
+//! caller. Its state is the current source, the last forwarded event and the attempts made so far.
+//! It decides when the stream leaves its server, and whether another server resumes it.
 //!
-//! Whole events are passed on as they come. If the server breaks off, the stream is taken up at
-//! another one after the last event that the caller has, where the route allows that; else the
-//! caller's connection is closed, so that the answer does not look complete. A stream leaves a server
-//! that was found slow in the same way, if it can: all streams of its group wait for that server.
+//! If a server truncates the stream, another server resumes it after the last event that the caller
+//! has, where the route allows that. Otherwise the caller's connection is closed, so that the
+//! answer does not look complete. A stream leaves a server that is reported as slow in the same
+//! way, if it can: all streams of its group wait for that server.
 
 use std::fmt;
 use std::rc::Rc;
@@ -37,17 +39,17 @@
 use crate::platform::Platform;
 use crate::request::Request;
 
-/// Silence of a server after which a stream is taken up elsewhere. The users' groups stand still
-/// for 1,500 ms when one rank is lost and callers leave after 2,000 ms.
+/// Time without bytes from a server after which its stream is resumed at another server. Groups
+/// stall for 1,500 ms when a rank is lost, and callers disconnect after 2,000 ms.
 const SOURCE_IDLE_TIMEOUT: Duration = Duration::from_millis(1_650);
 
-/// The stream ended early.
+/// The stream ended before it was complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TruncatedStream;
 
 impl fmt::Display for TruncatedStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the stream was broken off")
+        write!(f, "the stream was truncated")
     }
 }
 
@@ -59,20 +61,20 @@
     attempts: Attempts,
     source: Option<Answer<P>>,
     events: EventBuffer,
-    /// Whether the source has given more than the head of its answer.
-    is_running: bool,
-    /// Whether the stream may be taken up elsewhere.
+    /// Whether the source has sent bytes of its body.
+    has_body_bytes: bool,
+    /// Whether another server may resume the stream.
     resumable: bool,
 }
 
-/// The frames of a stream that has begun.
+/// The frames for the caller of a stream that has begun.
 pub fn frames<P: Platform>(
     gateway: Rc<Gateway<P>>,
     request: Request<P>,
     attempts: Attempts,
     answer: Answer<P>,
 ) -> impl Stream<Item = Result<Frame<Bytes>, TruncatedStream>> {
-    // With a length told, another server's pieces would have to add up to it.
+    // If the answer has a length, the bytes from another server would have to add up to it.
     let resumable =
         request.route().resumable && !answer.head.headers.contains_key(header::CONTENT_LENGTH);
     let relay = Relay {
@@ -81,18 +83,18 @@
         attempts,
         source: Some(answer),
         events: EventBuffer::default(),
-        is_running: false,
+        has_body_bytes: false,
         resumable,
     };
     stream::unfold(relay, next_frame)
 }
 
-/// What the source gave.
-enum Piece {
+/// What the source delivered.
+enum SourceItem {
     Bytes(Bytes),
     End,
-    Broken,
-    Silent,
+    Truncated,
+    IdleTimeout,
     Deadline,
 }
 
@@ -100,14 +102,14 @@
     mut relay: Relay<P>,
 ) -> Option<(Result<Frame<Bytes>, TruncatedStream>, Relay<P>)> {
     loop {
-        if leaves_slow_server(&relay) && !resume(&mut relay, LeaveReason::Slow).await {
+        if should_leave_slow_server(&relay) && !resume(&mut relay, LeaveReason::Slow).await {
             return Some((Err(TruncatedStream), relay));
         }
-        match next_piece(&mut relay).await? {
-            Piece::Bytes(bytes) => {
-                relay.is_running = true;
-                let passed = relay.events.push(&bytes);
-                if !passed.is_empty() {
+        match next_source_item(&mut relay).await? {
+            SourceItem::Bytes(bytes) => {
+                relay.has_body_bytes = true;
+                let complete = relay.events.push(&bytes);
+                if !complete.is_empty() {
                     let pause = relay
                         .request
                         .admitted_stream
@@ -116,24 +118,25 @@
                     if let Some(pause) = pause {
                         relay.gateway.metrics.pause_ms.observe(pause.0 as f64);
                     }
-                    return Some((Ok(Frame::data(Bytes::from(passed))), relay));
+                    return Some((Ok(Frame::data(Bytes::from(complete))), relay));
                 }
             }
-            Piece::End => {
-                let rest = end(&mut relay)?;
-                return Some((Ok(Frame::data(rest)), relay));
+            SourceItem::End => {
+                let remaining = end(&mut relay)?;
+                return Some((Ok(Frame::data(remaining)), relay));
             }
-            piece @ (Piece::Broken | Piece::Silent) => {
-                note_broken(&relay, &piece).await;
+            item @ (SourceItem::Truncated | SourceItem::IdleTimeout) => {
+                record_truncation(&relay, &item).await;
                 if !resume(&mut relay, LeaveReason::BrokenOff).await {
                     if relay.gateway.turns_away(relay.request.fingerprint).is_some() {
-                        // Its caller comes again at once, at any gateway.
+                        // The caller retries at once at any gateway, so the crash is reported to
+                        // the other gateways first.
                         relay.gateway.until_told().await;
                     }
                     return Some((Err(TruncatedStream), relay));
                 }
             }
-            Piece::Deadline => {
+            SourceItem::Deadline => {
                 relay.source = None;
                 return Some((Err(TruncatedStream), relay));
             }
@@ -141,69 +144,71 @@
     }
 }
 
-/// The source has ended as it should: what is left to pass on, if anything.
+/// Ends a stream whose source has ended properly; returns the bytes left to forward, if any.
 fn end<P: Platform>(relay: &mut Relay<P>) -> Option<Bytes> {
-    let rest = relay.events.end();
+    let remaining = relay.events.end();
     if let Some(source) = relay.source.take() {
         source.recycle(&relay.gateway);
     }
     relay.gateway.note_well(relay.request.fingerprint);
     relay.gateway.metrics.answered.inc();
-    Some(Bytes::from(rest)).filter(|rest| !rest.is_empty())
+    Some(Bytes::from(remaining)).filter(|remaining| !remaining.is_empty())
 }
 
-/// The source has broken off, or says nothing.
-async fn note_broken<P: Platform>(relay: &Relay<P>, piece: &Piece) {
+/// Records that the source has truncated the stream or sends nothing.
+async fn record_truncation<P: Platform>(relay: &Relay<P>, item: &SourceItem) {
     let Some(source) = &relay.source else { return };
-    // Who says nothing goes on doing so: that it crashed as this began is not to be found out at once.
-    let is_starting = !relay.is_running && matches!(piece, Piece::Broken);
+    // A server that sends nothing keeps doing so. Whether it crashed as this stream began need not
+    // be determined at once.
+    let is_starting = !relay.has_body_bytes && matches!(item, SourceItem::Truncated);
     let progress = if is_starting { Progress::Starting } else { Progress::Running };
     let (server, progress) = (source.guard.server(), progress(source.began_at));
     relay.gateway.note_broken(server, relay.request.fingerprint, progress).await;
 }
 
-/// The next piece of the source; `None` if the stream is over.
-async fn next_piece<P: Platform>(relay: &mut Relay<P>) -> Option<Piece> {
+/// The next item of the source; `None` if the stream has ended.
+async fn next_source_item<P: Platform>(relay: &mut Relay<P>) -> Option<SourceItem> {
     let source = relay.source.as_mut()?;
     let (clock, deadline, resumable) =
         (relay.gateway.clock, relay.request.deadline, relay.resumable);
-    let silent_at = Instant::now() + SOURCE_IDLE_TIMEOUT;
+    let idle_at = Instant::now() + SOURCE_IDLE_TIMEOUT;
     loop {
         let frame = tokio::select! {
             biased;
             frame = source.body.frame() => frame,
-            () = clock.sleep_until(deadline) => return Some(Piece::Deadline),
-            // Time asleep does not make a server silent.
-            () = time::sleep_until(silent_at), if resumable => return Some(Piece::Silent),
+            () = clock.sleep_until(deadline) => return Some(SourceItem::Deadline),
+            // This timer does not count the time of a suspension, which is no sign of an idle
+            // server.
+            () = time::sleep_until(idle_at), if resumable => return Some(SourceItem::IdleTimeout),
         };
         return Some(match frame {
             Some(Ok(frame)) => match frame.into_data() {
-                Ok(bytes) => Piece::Bytes(bytes),
-                // Trailers concern one connection only.
+                Ok(bytes) => SourceItem::Bytes(bytes),
+                // Trailers concern one connection only and are not forwarded.
                 Err(_) => continue,
             },
-            None => Piece::End,
-            Some(Err(_)) => Piece::Broken,
+            None => SourceItem::End,
+            Some(Err(_)) => SourceItem::Truncated,
         });
     }
 }
 
-/// Whether the stream is at a slow server, and can be taken up at one that is not.
-fn leaves_slow_server<P: Platform>(relay: &Relay<P>) -> bool {
+/// Whether the stream is at a slow server and a server that is not slow can resume it.
+fn should_leave_slow_server<P: Platform>(relay: &Relay<P>) -> bool {
     let Relay { gateway, request, attempts, source, resumable, .. } = relay;
     let Some(source) = source else { return false };
     if !*resumable || !attempts.allows_another() {
         return false;
     }
     let (now, server) = (gateway.now(), source.guard.server());
-    let is_better_elsewhere = gateway.with_pool(|pool| {
+    let has_better_server = gateway.with_pool(|pool| {
         pool.is_slow(server, now)
             && pool.has_alternative(&request.service, server, attempts.tried(), now)
     });
-    is_better_elsewhere && gateway.covers_repeat(&request.service)
+    has_better_server && gateway.covers_repeat(&request.service)
 }
 
-/// Leaves the source, and returns its server; `None` if there is none.
+/// Drops the source and returns its server; `None` if there is none.
 fn leave<P: Platform>(relay: &mut Relay<P>, reason: LeaveReason) -> Option<Key<Server>> {
     let mut left = relay.source.take()?;
     left.guard.end(match reason {
@@ -217,11 +222,11 @@
     Some(left.guard.server())
 }
 
-/// Takes the stream up at another server, after the last event that was passed on.
+/// Resumes the stream at another server after the last forwarded event; returns whether one did.
 async fn resume<P: Platform>(relay: &mut Relay<P>, reason: LeaveReason) -> bool {
     let Some(mut server) = leave(relay, reason) else { return false };
     let mut fate = Fate::MayHaveRun;
-    while goes_on(relay, server, fate, reason) {
+    while may_resume(relay, server, fate, reason) {
         let guard = forward::next_attempt(&relay.gateway, &relay.request, &relay.attempts).await;
         let Some(guard) = guard else { return false };
         server = guard.server();
@@ -232,7 +237,7 @@
             Ok(Ok(answer)) if answer.head.status == StatusCode::OK => {
                 relay.gateway.metrics.resumed.inc();
                 relay.source = Some(answer);
-                relay.is_running = false;
+                relay.has_body_bytes = false;
                 return true;
             }
             Ok(Ok(_)) => Fate::Failed,
@@ -243,16 +248,17 @@
     false
 }
 
-/// Whether one more server may be asked for the rest of the stream, after `server`.
-fn goes_on<P: Platform>(
+/// Decides whether another server may resume the stream after `server` failed or was left, and logs
+/// the decision.
+fn may_resume<P: Platform>(
     relay: &mut Relay<P>,
     server: Key<Server>,
     fate: Fate,
     reason: LeaveReason,
 ) -> bool {
     let Relay { gateway, request, attempts, events, resumable, .. } = relay;
-    let may_go_on = *resumable && gateway.turns_away(request.fingerprint).is_none();
-    let covered = || may_go_on && gateway.take_repeat(&request.service);
+    let is_allowed = *resumable && gateway.turns_away(request.fingerprint).is_none();
+    let covered = || is_allowed && gateway.take_repeat(&request.service);
     let next = attempts.after_failure(server, fate, covered);
     let step = LeaveStep {
         fingerprint_number: request.fingerprint.0,
