--- a/crates/direct/src/connections.rs
+++ b/crates/direct/src/connections.rs
@@ -46,7 +46,7 @@
 
 struct Idle {
     connection: Connection,
-    until: Millis,
+    expires_at: Millis,
 }
 
 /// The pool of idle connections.
@@ -67,7 +67,7 @@
         let mut idle = self.idle.borrow_mut();
         let of_server = idle.get_mut(&server)?;
         let now = self.clock.now();
-        of_server.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+        of_server.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
         let ready = of_server.iter().rposition(|idle| idle.connection.sender.is_ready())?;
         Some(of_server.remove(ready).connection)
     }
@@ -82,15 +82,15 @@
         if of_server.len() >= MAX_IDLE_PER_SERVER {
             return;
         }
-        let until = self.clock.now() + Millis::from(connection.idle_timeout);
-        of_server.push(Idle { connection, until });
+        let expires_at = self.clock.now() + Millis::from(connection.idle_timeout);
+        of_server.push(Idle { connection, expires_at });
     }
 
     /// Closes idle connections whose time-out has passed.
     pub fn sweep(&self) {
         let now = self.clock.now();
         self.idle.borrow_mut().retain(|_, of_server| {
-            of_server.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+            of_server.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
             !of_server.is_empty()
         });
     }
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -125,7 +125,7 @@
 }
 
 impl<P: Platform> Answer<P> {
-    /// Returns the connection to the idle ones; the body must have been read to its end.
+    /// Puts the connection back for reuse; the body must have been read to its end.
     pub fn recycle(self, gateway: &Gateway<P>) {
         gateway.connections.put_back(self.connection);
     }
@@ -213,8 +213,8 @@
     }
 }
 
-/// Whether an answer belongs to the request. An answer without a request id can only do so on a new
-/// connection.
+/// Whether an answer belongs to the request. An answer without a request id is accepted only on a
+/// new connection, which has carried no earlier request.
 fn is_answer_to<P: Platform>(
     request: &Request<P>,
     names: &HeaderNames,
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -89,7 +89,7 @@
     stream::unfold(relay, next_frame)
 }
 
-/// What the source delivered.
+/// An item from the source: bytes, or the reason why no more were received.
 enum SourceItem {
     Bytes(Bytes),
     End,
