--- a/crates/direct/src/callers/watch.rs
+++ b/crates/direct/src/callers/activity.rs
@@ -1,4 +1,5 @@
-//! What a caller's connection is at: whether it rests, a head is coming, or an answer is due.
+//! The activity of a caller's connection: idle, receiving the head of a request, or answering it.
+//! Reads from the connection and the end of an answer update it; the time-outs depend on it.
 
 use std::cell::Cell;
 use std::io;
@@ -14,54 +15,54 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// What a connection is at, and since when.
+/// The activity of a connection, and since when.
 #[derive(Clone, Copy)]
 pub(super) enum Activity {
-    /// Nothing of a request has come.
-    Resting(Millis),
-    /// A request's head is coming.
+    /// No byte of a request was received.
+    Idle(Millis),
+    /// The head of a request is being received.
     Reading(Millis),
-    /// A request has no whole answer yet.
+    /// The answer to a request is not complete.
     Answering,
 }
 
-/// What a connection is at, shared by who reads from it and who answers on it.
-pub(super) type Watch = Rc<Cell<Activity>>;
+/// The activity of a connection, shared between its reads and its answers.
+pub(super) type SharedActivity = Rc<Cell<Activity>>;
 
-/// The connection rests again once its answer is written.
-pub(super) struct Guard {
-    pub(super) watch: Watch,
+/// Marks the connection as idle when it is dropped, after its answer was written.
+pub(super) struct AnswerGuard {
+    pub(super) shared_activity: SharedActivity,
     pub(super) clock: ProcessClock,
 }
 
-impl Drop for Guard {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
-        self.watch.set(Activity::Resting(self.clock.now()));
+        self.shared_activity.set(Activity::Idle(self.clock.now()));
     }
 }
 
-/// A connection that notes when the first bytes of a request come.
-pub(super) struct Watched {
+/// A connection that records when the first bytes of a request are received.
+pub(super) struct TrackedConnection {
     pub(super) inner: TokioIo<TcpStream>,
-    pub(super) watch: Watch,
+    pub(super) shared_activity: SharedActivity,
     pub(super) clock: ProcessClock,
 }
 
-impl hyper::rt::Read for Watched {
+impl hyper::rt::Read for TrackedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
-        if let (Poll::Ready(Ok(())), Activity::Resting(_)) = (&polled, self.watch.get()) {
-            self.watch.set(Activity::Reading(self.clock.now()));
+        if let (Poll::Ready(Ok(())), Activity::Idle(_)) = (&polled, self.shared_activity.get()) {
+            self.shared_activity.set(Activity::Reading(self.clock.now()));
         }
         polled
     }
 }
 
-impl hyper::rt::Write for Watched {
+impl hyper::rt::Write for TrackedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
