--- a/crates/core/src/direct/pool/limits.rs
+++ b/crates/core/src/direct/pool/limits.rs
@@ -1,4 +1,6 @@
-//! Backend servers that name a limit, among all others.
+//! Advertised limits and permits of the servers in a [`Pool`].
+//! Input: limits that servers or other gateways advertise, and granted permits.
+//! State: one [`Limited`] per server. Decides whether a request to a server needs a permit.
 
 use super::Pool;
 use super::Server;
@@ -12,57 +14,61 @@
 use crate::direct::permits::Grant;
 use crate::util::arena::Key;
 
-/// Time after which nobody is told any more that a server names no limit.
-const TOLD_FOR: Millis = Millis(60_000);
+/// Time for which gateways gossip that a server has withdrawn its limit.
+const NO_LIMIT_GOSSIP_PERIOD: Millis = Millis(60_000);
 
 impl Pool {
-    /// Takes what a server said of its limit.
+    /// Merges a limit that a server advertised, or its withdrawal.
     pub fn merge_limit(&mut self, key: Key<Server>, said: LimitAdvertisement) -> LimitMergeOutcome {
         let limited = self.limits.entry(key).or_default();
         limited.apply(said)
     }
 
-    /// The same of a server by its life; one that is not known is passed over.
+    /// [`Pool::merge_limit`] for a server by its incarnation. An unknown one is ignored.
     pub fn merge_limit_of(
         &mut self,
-        life: ServerIncarnation,
+        incarnation: ServerIncarnation,
         said: LimitAdvertisement,
     ) -> LimitMergeOutcome {
-        match self.by_life.get(&life).copied() {
+        match self.by_incarnation.get(&incarnation).copied() {
             Some(key) => self.merge_limit(key, said),
             None => LimitMergeOutcome::Unchanged,
         }
     }
 
-    /// What the listed servers have said of their limits, as far as others may not know.
+    /// Limits of the listed servers to gossip: advertised ones, and recent withdrawals.
     pub fn advertised_limits(&self, now: Millis) -> Vec<(ServerIncarnation, LimitAdvertisement)> {
         let listed = self.limits.iter().filter(|(key, _)| self.is_present(**key));
         let said = listed
             .filter_map(|(key, limited)| Some((self.incarnation(*key), limited.advertisement()?)));
-        said.filter(|(_, said)| said.limit.is_some() || now.since(said.latest) < TOLD_FOR).collect()
+        said.filter(|(_, said)| {
+            said.limit.is_some() || now.since(said.latest) < NO_LIMIT_GOSSIP_PERIOD
+        })
+        .collect()
     }
 
-    /// Whether a listed server names a limit.
+    /// Whether a listed server advertises a limit.
     pub fn has_limits(&self) -> bool {
         self.limits.iter().any(|(key, limited)| limited.limit().is_some() && self.is_present(*key))
     }
 
-    /// What a server has said of its limit.
-    pub fn advertised_limit(&self, life: ServerIncarnation) -> Option<LimitAdvertisement> {
-        self.limited(*self.by_life.get(&life)?).and_then(AdvertisedLimit::advertisement)
+    /// The latest limit that a server advertised, or its withdrawal.
+    pub fn advertised_limit(&self, incarnation: ServerIncarnation) -> Option<LimitAdvertisement> {
+        self.limited(*self.by_incarnation.get(&incarnation)?)
+            .and_then(AdvertisedLimit::advertisement)
     }
 
-    /// The limit that a server names, if it does.
+    /// The limit that a server advertises, if any.
     pub fn limit(&self, key: Key<Server>) -> Option<Rate> {
         self.limited(key).and_then(AdvertisedLimit::limit)
     }
 
-    /// Stands for one life of a server.
+    /// Identifier of one incarnation of a server.
     pub fn incarnation(&self, key: Key<Server>) -> ServerIncarnation {
-        self.servers[key].life
+        self.servers[key].incarnation
     }
 
-    /// Takes a permit for one request to a server, or says what is to be done for one.
+    /// Takes a permit for one request to a server, or returns how to obtain one.
     pub fn take_permit(&mut self, key: Key<Server>, now: Millis) -> Permission {
         let ramp_up_rate = self.ramp_up_rate(key, now);
         self.limits
@@ -70,19 +76,20 @@
             .map_or(Permission::Free, |limited| limited.take(ramp_up_rate, now))
     }
 
-    /// What all gateways together send a server, while it comes back from a rest.
+    /// The rate at which all gateways together send to a server during its ramp-up.
     pub fn ramp_up_rate(&self, key: Key<Server>, now: Millis) -> Option<Rate> {
         self.servers[key].asked.ramp_up_rate(now)
     }
 
-    /// Takes the answer to one who asked for permits.
+    /// Records the answer to a request for permits that was sent at `asked_at`.
     pub fn record_grant(&mut self, key: Key<Server>, given: Grant, asked_at: Millis, now: Millis) {
         if let Some(limited) = self.limits.get_mut(&key) {
             limited.apply_grant(given.permits, given.retry_in, asked_at, now);
         }
     }
 
-    /// When there may be a permit for a server of a service, but those in `tried`, that takes requests otherwise.
+    /// The earliest time at which a permit may be available for a server of a service that is
+    /// otherwise available and not in `tried`.
     pub fn next_permit_at(
         &self,
         service: &str,
@@ -90,12 +97,13 @@
         now: Millis,
     ) -> Option<Millis> {
         let servers = &self.services.get(service)?.servers;
-        let fit =
-            servers.iter().filter(|key| self.servers[**key].is_fit(now) && !tried.contains(key));
-        fit.filter_map(|key| self.limited(*key).map(AdvertisedLimit::may_open_at)).min()
+        let available = servers
+            .iter()
+            .filter(|key| self.servers[**key].is_available(now) && !tried.contains(key));
+        available.filter_map(|key| self.limited(*key).map(AdvertisedLimit::may_open_at)).min()
     }
 
-    /// A server that was chosen is sent nothing: its turn is given back.
+    /// Reverts the turn of a server that was chosen but is sent no request.
     pub fn undo_choice(&mut self, key: Key<Server>, cost: f64) {
         if let Some(candidate) = self.candidate(key) {
             candidate.ended();
@@ -103,11 +111,11 @@
         }
     }
 
-    /// Until when a server is sent nothing, by what it asked: it rests, or there is no permit.
+    /// The time until which a server is sent nothing, because it is backing off or has no permit.
     pub(super) fn unavailable_until(&self, key: Key<Server>, now: Millis) -> Option<Millis> {
-        let rests = self.servers[key].asked.backing_off_until(now);
-        let lacks = self.limited(key).and_then(|limited| limited.blocked_until(now));
-        rests.max(lacks)
+        let backing_off_until = self.servers[key].asked.backing_off_until(now);
+        let no_permit_until = self.limited(key).and_then(|limited| limited.blocked_until(now));
+        backing_off_until.max(no_permit_until)
     }
 
     fn limited(&self, key: Key<Server>) -> Option<&AdvertisedLimit> {
--- a/crates/direct/src/endpoints.rs
+++ b/crates/direct/src/endpoints.rs
@@ -1,4 +1,6 @@
-//! Short questions: which gateways to use, whether this one is ready, and its metrics.
+//! The HTTP listeners for queries: the list of gateways that callers can use, the readiness of this
+//! gateway, and its metrics. Takes a request's path and query and answers from the gateway's state.
+//! It decides which gateways are listed, and for how long callers may cache the list.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,49 +26,46 @@
 use crate::gateway::Gateway;
 use crate::platform::Platform;
 
-/// How long callers may keep an answer. Some keep it three times as long, so it also bounds how
-/// long a stopping gateway has callers: no longer than it takes streams.
-const KEEP_ENDPOINTS: Duration = Duration::from_secs(1);
+/// Time for which callers may cache the list of gateways. Some callers keep it three times as long,
+/// so this also bounds how long callers use a gateway that is stopping: no longer than the gateway
+/// still accepts streams.
+const ENDPOINTS_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Longest time that a connection for short questions lives.
-const CONNECTION_LIFE: Duration = Duration::from_secs(30);
+/// Maximum lifetime of a connection for queries.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Most gateways in an answer; callers hold no more.
-const MOST_ENDPOINTS: usize = 64;
+/// Maximum number of gateways in an answer; callers store no more.
+const MAX_ENDPOINTS: usize = 64;
 
-/// What is asked on a listener.
+/// The kind of query that a listener answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Question {
-    /// Which gateways to use.
+pub enum QueryKind {
+    /// The list of gateways for callers.
     Endpoints,
-    /// Whether this one is ready.
+    /// The readiness of this gateway.
     Readiness,
-    /// Its metrics.
+    /// The metrics of this gateway.
     Metrics,
 }
 
-/// Answers a kind of question until the process ends.
-pub async fn serve<P: Platform>(
-    gateway: Rc<Gateway<P>>,
-    listener: TcpListener,
-    question: Question,
-) {
-    let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("{question:?} is not accepted: {error}"));
+/// Answers queries of one kind until the process ends.
+pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener, kind: QueryKind) {
+    let log_error = |error: &io::Error| {
+        gateway.journal.state(format_args!("accepting a connection for {kind:?} failed: {error}"));
     };
     loop {
-        let stream = accept::next(&listener, note).await;
+        let stream = accept::next(&listener, log_error).await;
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
-                let answer = answer(&gateway, &request, question);
+                let answer = answer(&gateway, &request, kind);
                 async move { Ok::<_, Infallible>(answer) }
             });
             let mut builder = http1::Builder::new();
             let connection =
                 builder.auto_date_header(false).serve_connection(TokioIo::new(stream), service);
-            // What went wrong with the connection is the asker's to see.
-            drop(time::timeout(CONNECTION_LIFE, connection).await);
+            // An error of the connection affects only its client, which notices it.
+            drop(time::timeout(CONNECTION_TIMEOUT, connection).await);
         });
     }
 }
@@ -74,31 +73,31 @@
 fn answer<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<Incoming>,
-    question: Question,
+    kind: QueryKind,
 ) -> Response<Full<Bytes>> {
     let (path, query) = (request.uri().path(), request.uri().query().unwrap_or_default());
-    match question {
-        Question::Readiness if gateway.platform.asks_for_readiness(path) => {
+    match kind {
+        QueryKind::Readiness if gateway.platform.asks_for_readiness(path) => {
             let ready = gateway.readiness() == Readiness::Ready;
             status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         }
-        Question::Metrics => Response::new(Full::new(Bytes::from(gateway.metrics.text()))),
-        Question::Endpoints => match gateway.platform.asks_for_endpoints(path, query) {
+        QueryKind::Metrics => Response::new(Full::new(Bytes::from(gateway.metrics.text()))),
+        QueryKind::Endpoints => match gateway.platform.asks_for_endpoints(path, query) {
             Some(data_centre) => endpoints(gateway, &data_centre),
             None => status(StatusCode::NOT_FOUND),
         },
-        Question::Readiness => status(StatusCode::NOT_FOUND),
+        QueryKind::Readiness => status(StatusCode::NOT_FOUND),
     }
 }
 
 fn endpoints<P: Platform>(gateway: &Gateway<P>, data_centre: &str) -> Response<Full<Bytes>> {
     let now = gateway.now();
-    let mut found = gateway.with_members(|members| {
+    let mut gateways = gateway.with_members(|members| {
         members.set_readiness(gateway.readiness());
         members.for_callers(data_centre, now)
     });
-    found.truncate(MOST_ENDPOINTS);
-    let (media_type, body) = gateway.platform.endpoints(&found, KEEP_ENDPOINTS);
+    gateways.truncate(MAX_ENDPOINTS);
+    let (media_type, body) = gateway.platform.endpoints(&gateways, ENDPOINTS_MAX_AGE);
     let mut response = Response::new(Full::new(body));
     response.headers_mut().insert(header::CONTENT_TYPE, media_type);
     response.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
