--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -57,7 +57,7 @@
 /// Accepts callers until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
     let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("callers are not accepted: {error}"));
+        gateway.event_log.state(format_args!("callers are not accepted: {error}"));
     };
     loop {
         let stream = accept::next(&listener, note).await;
@@ -155,12 +155,12 @@
     body: Incoming,
 ) -> Result<(Request<P>, Reply<P>), Refusal> {
     match request::read(gateway, parts, body).await {
-        Ok(request) if !gateway.takes(request.route().kind) => {
+        Ok(request) if !gateway.accepts(request.route().kind) => {
             // Another gateway can take it at once.
             Err(Refusal::not_run(Cause::Leaving).retry_after(Millis::ZERO))
         }
         Ok(mut request) => {
-            let trial = gateway.begin(request.fingerprint).await;
+            let trial = gateway.begin_trial_if_suspect(request.fingerprint).await;
             request.trial =
                 trial.map_err(|(cause, left)| Refusal::not_run(cause).retry_after(left))?;
             enter(gateway, &mut request).await?;
@@ -179,7 +179,8 @@
     request: &mut Request<P>,
 ) -> Result<(), Refusal> {
     // A permit that comes soon is waited for.
-    let bound = gateway.all_bound(&request.service).filter(|after| *after > forward::MOST_WAIT);
+    let bound =
+        gateway.all_unavailable_for(&request.service).filter(|after| *after > forward::MOST_WAIT);
     if let Some(after) = bound {
         return Err(Refusal::not_run(Cause::NoBackendServer).retry_after(after));
     }
@@ -191,7 +192,7 @@
             Ok(())
         }
         Err(after) => {
-            gateway.metrics.crowded.inc();
+            gateway.metrics.streams_over_capacity.inc();
             Err(Refusal::not_run(Cause::QueueFull).retry_after(after))
         }
     }
@@ -206,7 +207,7 @@
     let shown = id.and_then(|id| id.to_str().ok()).unwrap_or("?");
     let held_ms = gateway.now().since(came).0;
     let (verdict, cause) = (refusal.verdict, refusal.cause);
-    gateway.journal.request(shown, RefusedStep { held_ms, cause, verdict });
+    gateway.event_log.request(shown, RefusedStep { held_ms, cause, verdict });
     gateway.metrics.refused.inc();
     if let Some(counter) = gateway.metrics.of_refusal(cause) {
         counter.inc();
--- a/crates/direct/src/crash_keeper.rs
+++ b/crates/direct/src/crash_keeper.rs
@@ -13,8 +13,8 @@
 
 use crate::gateway::Gateway;
 use crate::platform::Failure;
-use crate::platform::KeptCrashes;
 use crate::platform::Platform;
+use crate::platform::StoredCrashes;
 
 /// Pause after a call that failed, doubled with each further one up to the longest: the store may be away for long,
 /// and refused calls are priced. What is kept is for a restart of all gateways, which mostly comes later.
@@ -40,8 +40,8 @@
             () = gateway.crashes_changed.notified() => {}
             _ = eras.wait_for(|era| *era > Some(read_in)) => {
                 // The store may have lost what was written, and have again what was removed.
-                if !kept.is_empty() || !gateway.crashes_to_keep().is_empty() {
-                    time::sleep(gateway.turn_to_write()).await;
+                if !kept.is_empty() || !gateway.crashes_to_store().is_empty() {
+                    time::sleep(gateway.write_delay()).await;
                     kept = read(&gateway).await;
                 }
                 read_in = gateway.era().unwrap_or_default();
@@ -68,7 +68,7 @@
     /// Logs the first failure, and waits.
     async fn next<P: Platform>(&mut self, gateway: &Gateway<P>, aim: &str, failure: Failure) {
         if self.last.is_none() {
-            gateway.journal.state(format_args!("crashes are not {aim}: {failure}"));
+            gateway.event_log.state(format_args!("crashes are not {aim}: {failure}"));
         }
         let pause = self.last.map_or(PAUSE, |last| LONGEST_PAUSE.min(2 * last));
         self.last = Some(pause);
@@ -88,7 +88,7 @@
         match gateway.platform.read_crashes().await {
             Ok(rows) => {
                 for row in &rows {
-                    gateway.take_crashes(&row.crashes, &[]);
+                    gateway.merge_crashes(&row.crashes, &[]);
                 }
                 gateway.note_crashes_read();
                 return rows.iter().map(|row| (row.fingerprint, row.crashes.len())).collect();
@@ -107,7 +107,7 @@
     gateway: &Gateway<P>,
     kept: &mut BTreeMap<Fingerprint, usize>,
 ) -> Result<Left, Failure> {
-    let mut put: Vec<KeptCrashes> = gateway.crashes_to_keep();
+    let mut put: Vec<StoredCrashes> = gateway.crashes_to_store();
     put.retain(|row| kept.get(&row.fingerprint) != Some(&row.crashes.len()));
     put.truncate(MOST_ROWS);
     let worth = gateway.with_crashes(|crashes| crashes.repeat_suspects(gateway.now()));
--- a/crates/direct/src/endpoints.rs
+++ b/crates/direct/src/endpoints.rs
@@ -52,7 +52,7 @@
     question: Question,
 ) {
     let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("{question:?} is not accepted: {error}"));
+        gateway.event_log.state(format_args!("{question:?} is not accepted: {error}"));
     };
     loop {
         let stream = accept::next(&listener, note).await;
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -23,8 +23,8 @@
 use crate::connections::Connection;
 use crate::gateway::Gateway;
 use crate::packing;
-use crate::platform::EngineAsk;
 use crate::platform::EngineReport;
+use crate::platform::EngineRequest;
 use crate::platform::Platform;
 use crate::sidecar;
 
@@ -49,7 +49,7 @@
 
 /// A question as it is put to engines, made once however many are asked.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct EncodedRequest {
     method: Method,
     uri: Uri,
     body: Bytes,
@@ -59,17 +59,17 @@
     since: Option<u64>,
 }
 
-impl Question {
+impl EncodedRequest {
     /// Spells a question as the platform has it.
-    pub fn new<P: Platform>(gateway: &Gateway<P>, asked: &EngineAsk<'_>) -> Question {
-        let (method, uri, body) = gateway.platform.engine_ask(asked);
+    pub fn new<P: Platform>(gateway: &Gateway<P>, asked: &EngineRequest<'_>) -> EncodedRequest {
+        let (method, uri, body) = gateway.platform.encode_engine_request(asked);
         let packed = (body.len() >= packing::PACKED_FROM).then(|| packing::pack(&body));
-        Question { method, uri, body, packed, since: None }
+        EncodedRequest { method, uri, body, packed, since: None }
     }
 
     /// For counts: the sidecar tells only what came since the reading with this number.
-    fn since(self, known: u64) -> Question {
-        Question { since: Some(known), ..self }
+    fn since(self, known: u64) -> EncodedRequest {
+        EncodedRequest { since: Some(known), ..self }
     }
 }
 
@@ -79,7 +79,7 @@
 async fn ask<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    question: &Question,
+    question: &EncodedRequest,
     path: Path,
 ) -> Option<(StatusCode, Bytes)> {
     let through_sidecar = gateway.uses_sidecar(server);
@@ -87,9 +87,9 @@
     // Too late is no answer.
     let answer = answer.unwrap_or_default();
     match path {
-        Path::Through(relay) if answer.is_none() => gateway.pass_relay_by(relay),
+        Path::Through(relay) if answer.is_none() => gateway.mark_relay_unanswered(relay),
         Path::Sidecar | Path::Any if answer.is_none() && through_sidecar => {
-            gateway.pass_sidecar_by(server);
+            gateway.mark_sidecar_unanswered(server);
         }
         _ => {}
     }
@@ -101,7 +101,7 @@
 async fn ask_body<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    question: &Question,
+    question: &EncodedRequest,
     path: Path,
 ) -> Option<Bytes> {
     let (status, body) = ask(gateway, server, question, path).await?;
@@ -119,7 +119,7 @@
 async fn exchange<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    question: &Question,
+    question: &EncodedRequest,
     path: Path,
 ) -> Option<(StatusCode, Bytes)> {
     let is_limited = gateway.with_pool(|pool| pool.limit(server).is_some());
@@ -136,7 +136,7 @@
     connection.note_answer(&head.headers);
     match end {
         End::Engine => {
-            gateway.note_asked(server, &head);
+            gateway.note_server_notices(server, &head);
             gateway.note_limit(server, &head, sent_at, head.status.is_success());
         }
         // A rest is asked of the one whose connection it came on, and not all that the engine says comes through.
@@ -160,7 +160,7 @@
 fn request<P: Platform>(
     gateway: &Gateway<P>,
     server: Key<Server>,
-    question: &Question,
+    question: &EncodedRequest,
     end: End,
 ) -> Option<Request<Full<Bytes>>> {
     let listed = gateway.with_pool(|pool| pool.server(server).listed.clone());
@@ -214,7 +214,7 @@
     if let Some(connection) = gateway.connections.idle(server) {
         return Some((connection, End::Engine));
     }
-    gateway.metrics.dialled.inc();
+    gateway.metrics.connections_opened.inc();
     Some((Connection::open(server, address).await.ok()?, End::Engine))
 }
 
@@ -240,7 +240,7 @@
     server: Key<Server>,
     path: Path,
 ) -> Option<EngineReport> {
-    let question = Question::new(gateway, &EngineAsk::Report);
+    let question = EncodedRequest::new(gateway, &EngineRequest::Report);
     let body = ask_body(gateway, server, &question, path).await?;
     gateway.platform.engine_report(&body)
 }
@@ -251,7 +251,7 @@
     server: Key<Server>,
     path: Path,
 ) -> Option<Counts> {
-    let question = Question::new(gateway, &EngineAsk::Counts);
+    let question = EncodedRequest::new(gateway, &EngineRequest::Counts);
     let body = ask_body(gateway, server, &question, path).await?;
     gateway.platform.engine_counts(&body)
 }
@@ -263,7 +263,7 @@
     server: Key<Server>,
     known: u64,
 ) -> Option<CountsNews> {
-    let question = Question::new(gateway, &EngineAsk::Counts).since(known);
+    let question = EncodedRequest::new(gateway, &EngineRequest::Counts).since(known);
     let body = ask_body(gateway, server, &question, Path::Sidecar).await?;
     let body = packing::unpack(&body, sidecar::MOST_BYTES).ok()?;
     ciborium::from_reader(body.as_ref()).ok()
@@ -274,7 +274,7 @@
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
 ) -> Option<(u64, Vec<Vec<u16>>)> {
-    let question = Question::new(gateway, &EngineAsk::Experts);
+    let question = EncodedRequest::new(gateway, &EngineRequest::Experts);
     let body = ask_body(gateway, server, &question, Path::Any).await?;
     gateway.platform.engine_experts(&body)
 }
@@ -283,7 +283,7 @@
 pub async fn order<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    order: &Question,
+    order: &EncodedRequest,
     path: Path,
 ) -> Reply {
     match ask(gateway, server, order, path).await {
--- a/crates/direct/src/journal.rs
+++ b/crates/direct/src/event_log.rs
@@ -15,19 +15,19 @@
 
 /// The log of one process.
 #[derive(Debug)]
-pub struct Journal {
+pub struct EventLog {
     since: Cell<Instant>,
     written: Cell<u32>,
     dropped: Cell<u32>,
 }
 
-impl Default for Journal {
+impl Default for EventLog {
     fn default() -> Self {
-        Journal { since: Cell::new(Instant::now()), written: Cell::new(0), dropped: Cell::new(0) }
+        EventLog { since: Cell::new(Instant::now()), written: Cell::new(0), dropped: Cell::new(0) }
     }
 }
 
-impl Journal {
+impl EventLog {
     /// A change of what the process believes; always written.
     pub fn state(&self, line: Arguments<'_>) {
         info!("{line}");
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -74,7 +74,7 @@
     /// chosen, and the permit may be too old by now.
     fn may_send(&self, now: Millis) -> bool {
         let Turn { gateway, server, permit, .. } = self;
-        let has_permit = permit.is_some_and(|permit| permit.is_good(now));
+        let has_permit = permit.is_some_and(|permit| permit.is_valid(now));
         gateway.with_pool(|pool| {
             pool.accepts(*server, now) && (pool.limit(*server).is_none() || has_permit)
         })
@@ -150,22 +150,22 @@
     let (head, body) = response.into_parts();
     connection.note_answer(&head.headers);
     let names = gateway.platform.headers();
-    let asks_rest = note_asked(gateway, request, turn.server(), &head);
+    let asks_rest = note_server_notices(gateway, request, turn.server(), &head);
     note_limit(gateway, request, turn.server(), &head, sent_at);
     if !is_answer_to(request, names, &head, reused) {
         turn.end(AttemptOutcome::Lost);
         let step = OtherAnswerStep { server_number: turn.server().number() };
-        gateway.journal.request(request.id_text(), step);
+        gateway.event_log.request(request.id_text(), step);
         return Err(Fate::MayHaveRun);
     }
-    gateway.note_lives(turn.server(), sent_at);
+    gateway.note_server_answered(turn.server(), sent_at);
     note_load(gateway, turn.server(), &head);
     if is_refusal(gateway, &head) {
         let ending = if asks_rest { AttemptOutcome::Full } else { refusal(gateway, &head) };
         turn.end(ending);
         if ending == AttemptOutcome::Stalled {
-            gateway.stalled.notify_one();
-            gateway.note_out(&request.service);
+            gateway.stall_detected.notify_one();
+            gateway.note_outage_began(&request.service);
         }
         drain(gateway, body, connection);
         return Err(Fate::NotRun);
@@ -176,7 +176,7 @@
     }
     let failed = head.status.is_server_error();
     turn.end(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered });
-    gateway.note_taken(&request.service);
+    gateway.note_outage_ended(&request.service);
     gateway.with_pool(|pool| pool.record_answer(turn.server()));
     let now = gateway.now();
     gateway.with_heads(&request.service, |heads| heads.began(turn.server(), sent_at, now));
@@ -200,7 +200,7 @@
         match next {
             overtaken::Next::Wait(until) => gateway.clock.sleep_until(until).await,
             // What was answered while this process stood still has not been read yet.
-            overtaken::Next::GiveUp if gateway.stood_still(NOT_READ_YET).is_some() => {
+            overtaken::Next::GiveUp if gateway.recent_suspension(NOT_READ_YET).is_some() => {
                 time::sleep(Duration::from(NOT_READ_YET)).await;
             }
             overtaken::Next::GiveUp => return,
@@ -283,7 +283,7 @@
             answered = connection.sender().try_send_request(message) => answered,
             () = overtaken(gateway, request, server, sent_at) => {
                 gateway.metrics.overtaken.inc();
-                gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
+                gateway.note_truncated(server, request.fingerprint, Progress::Sent(sent_at)).await;
                 return Err(NoAnswer { fate: Fate::MayHaveRun, ending: AttemptOutcome::Overtaken });
             }
         };
@@ -295,7 +295,9 @@
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 if !unsent {
-                    gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
+                    gateway
+                        .note_truncated(server, request.fingerprint, Progress::Sent(sent_at))
+                        .await;
                 }
                 if unsent && !fresh {
                     // The server had closed the kept connection: nothing was written.
@@ -309,7 +311,7 @@
                     unsent,
                     error,
                 };
-                gateway.journal.request(request.id_text(), step);
+                gateway.event_log.request(request.id_text(), step);
                 return Err(NoAnswer::of_connection(unsent));
             }
         }
@@ -321,7 +323,7 @@
     server: Key<Server>,
 ) -> Result<Connection, NoAnswer> {
     let address = gateway.with_pool(|pool| pool.server(server).listed.address);
-    gateway.metrics.dialled.inc();
+    gateway.metrics.connections_opened.inc();
     Connection::open(server, address).await.map_err(|_| NoAnswer::of_connection(true))
 }
 
@@ -360,15 +362,15 @@
 }
 
 /// Takes note of what a server asks; returns whether that is a rest.
-fn note_asked<P: Platform>(
+fn note_server_notices<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<P>,
     server: Key<Server>,
     head: &Parts,
 ) -> bool {
-    let Some(asked) = gateway.note_asked(server, head) else { return false };
+    let Some(asked) = gateway.note_server_notices(server, head) else { return false };
     let step = RestStep { server_number: server.number(), asked: asked.to_owned() };
-    gateway.journal.request(request.id_text(), step);
+    gateway.event_log.request(request.id_text(), step);
     true
 }
 
@@ -383,7 +385,7 @@
     let lifts = head.status.is_success();
     if let Some(named) = gateway.note_limit(server, head, sent_at, lifts) {
         let step = LimitStep { server_number: server.number(), named: named.to_owned() };
-        gateway.journal.request(request.id_text(), step);
+        gateway.event_log.request(request.id_text(), step);
     }
 }
 
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -75,14 +75,14 @@
             }
             Ok(update) => {
                 gateway.note_store(true, &"");
-                gateway.take(table, &update, "store");
+                gateway.apply_update(table, &update, "store");
                 (whole, is_old) = (false, false);
                 if !update.changes.is_empty() {
                     time::sleep(GATHER).await;
                 }
             }
             Err(Failure::HistoryGone) => {
-                gateway.journal.state(format_args!("{} is read anew", table.name()));
+                gateway.event_log.state(format_args!("{} is read anew", table.name()));
                 whole = true;
             }
             Err(failure) => {
@@ -165,7 +165,7 @@
             () = time::sleep(if alone { ALONE_EVERY } else { MEMBERS_EVERY }) => {}
             // What was written in the era before may be lost.
             _ = eras.wait_for(|now| *now > Some(era)) => {
-                time::sleep(gateway.turn_to_write()).await;
+                time::sleep(gateway.write_delay()).await;
             }
         }
     }
@@ -183,10 +183,10 @@
     let listed: Vec<Member> = texts.filter_map(news::member_of_text).collect();
     for name in gateway.with_members(|members| members.apply_table(&listed, now)) {
         match gateway.platform.write_member(&name, None).await {
-            Ok(_) => gateway.journal.state(format_args!("{name} is listed no more")),
+            Ok(_) => gateway.event_log.state(format_args!("{name} is listed no more")),
             // It is tried again at the next reading.
             Err(failure) => {
-                gateway.journal.state(format_args!("{name} stays listed: {failure}"));
+                gateway.event_log.state(format_args!("{name} stays listed: {failure}"));
             }
         }
     }
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -75,13 +75,15 @@
         if gateway.now() >= request.deadline {
             return Tried::Refused(attempts.refuse(Cause::DeadlinePassed));
         }
-        if let Some((cause, left)) = gateway.turns_away(request.fingerprint) {
+        if let Some((cause, left)) = gateway.crash_refusal(request.fingerprint) {
             return Tried::Refused(attempts.refuse_with_retry_after(cause, left));
         }
         let Some(turn) = next_turn(gateway, request, attempts).await else {
             // A rest that servers ask for, and a limit, is no outage: its end is known.
-            if attempts.tried().is_empty() && gateway.all_bound(&request.service).is_none() {
-                gateway.note_out(&request.service);
+            if attempts.tried().is_empty()
+                && gateway.all_unavailable_for(&request.service).is_none()
+            {
+                gateway.note_outage_began(&request.service);
             }
             return match failure {
                 Some((head, body)) => Tried::Whole(head, body),
@@ -98,10 +100,10 @@
             }
             Outcome::Unanswered(fate) => fate,
         };
-        let next = attempts.after_failure(server, fate, || gateway.take_repeat(&request.service));
+        let next = attempts.after_failure(server, fate, || gateway.take_retry(&request.service));
         let (server_number, sent_number) = (server.number(), attempts.sent());
         let step = AttemptStep { server_number, sent_number, fate, next: next.step() };
-        gateway.journal.request(request.id_text(), step);
+        gateway.event_log.request(request.id_text(), step);
         match (next, failure.take()) {
             (Next::Retry, kept) => failure = kept,
             (_, Some((head, body))) => return Tried::Whole(head, body),
@@ -116,7 +118,7 @@
 /// A refusal, with a time to come back at which servers are expected to take requests again.
 fn refused<P: Platform>(gateway: &Gateway<P>, request: &Request<P>, refusal: Refusal) -> Tried<P> {
     let may_return = refusal.retry_after.is_some();
-    match gateway.come_back(&request.service).filter(|_| may_return) {
+    match gateway.outage_retry_after(&request.service).filter(|_| may_return) {
         Some(after) => Tried::Refused(refusal.retry_after(after)),
         None => Tried::Refused(refusal),
     }
@@ -175,7 +177,7 @@
         let next = next.filter(|at| now < give_up_at && *at < give_up_at)?;
         // Past is where another request has asked, and its answer may come.
         let until = if next > now { next } else { give_up_at };
-        let _ = gateway.clock.timeout_at(until, gateway.permits_told.notified()).await;
+        let _ = gateway.clock.timeout_at(until, gateway.permit_reply_received.notified()).await;
     }
 }
 
@@ -190,14 +192,14 @@
         Ok(collected) => {
             gateway.connections.keep(connection);
             if head.status.is_success() {
-                gateway.note_well(request.fingerprint);
+                gateway.note_completed(request.fingerprint);
             }
             Some((head, collected.to_bytes()))
         }
         Err(_) => {
             turn.end(AttemptOutcome::Lost);
             let progress = Progress::Running(began);
-            gateway.note_broken(turn.server(), request.fingerprint, progress).await;
+            gateway.note_truncated(turn.server(), request.fingerprint, progress).await;
             None
         }
     }
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -2,13 +2,13 @@
 //!
 //! One thread runs them all, so cells suffice: nothing is borrowed across an await.
 
-mod asked;
 mod by_service;
 mod configurations;
 pub(crate) mod crashes;
 mod eras;
-pub(crate) mod findings;
 pub mod limits;
+mod server_notices;
+pub(crate) mod slow_servers;
 mod tables;
 
 use std::cell::Cell;
@@ -53,10 +53,10 @@
 
 use crate::connections::Connections;
 use crate::entrance::Entrance;
+use crate::event_log::EventLog;
 use crate::gateway::by_service::ByService;
-use crate::gateway::crashes::Found;
-use crate::gateway::findings::Reach;
-use crate::journal::Journal;
+use crate::gateway::crashes::CrashDetection;
+use crate::gateway::slow_servers::Reach;
 use crate::metrics::Metrics;
 use crate::permits::Givers;
 use crate::platform::Platform;
@@ -98,7 +98,7 @@
     pub clock: ProcessClock,
     suspension: Cell<SuspensionDetector>,
     /// Log lines.
-    pub journal: Journal,
+    pub event_log: EventLog,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Connections to backend servers.
@@ -108,30 +108,30 @@
     /// Port on which those listen; 0 if there are none.
     pub sidecars_port: u16,
     /// Wakes whoever looks after groups that stand still.
-    pub stalled: Notify,
+    pub stall_detected: Notify,
     /// Wakes whoever exchanges news with other gateways: there is some that cannot wait.
-    pub urgent: Notify,
+    pub urgent_gossip: Notify,
     /// Told when the rounds of news that could not wait were made.
-    pub told: Notify,
+    pub urgent_gossip_done: Notify,
     /// Rounds of news that are still to be made at once.
     urgent_rounds: Cell<Option<(u32, Reach)>>,
-    findings: RefCell<SlowServerReports>,
+    slow_server_reports: RefCell<SlowServerReports>,
     crashes: RefCell<Crashes>,
-    found: RefCell<Found>,
+    crash_detection: RefCell<CrashDetection>,
     /// Wakes whoever keeps crashes on the platform: something has changed.
     pub crashes_changed: Notify,
     permits: RefCell<Permits>,
     /// The gateways that give out permits.
-    pub permit_givers: Givers,
+    pub permit_granters: Givers,
     /// Told when an answer about permits has come.
-    pub permits_told: Notify,
+    pub permit_reply_received: Notify,
     /// Wakes whoever hands the own part over: a server has named a limit.
-    pub limits_known: Notify,
+    pub limits_changed: Notify,
     serving: RefCell<Rc<ServingConfig>>,
     /// The table that the configuration in force came from, where the store has an older copy of it.
-    kept: RefCell<Option<Replica>>,
+    retained_configuration: RefCell<Option<Replica>>,
     /// Whether another gateway has told what it knows, as far as there are any.
-    peers_asked: Cell<bool>,
+    peer_state_received: Cell<bool>,
     pool: RefCell<Pool>,
     members: RefCell<Members>,
     replicas: RefCell<BTreeMap<Table, Replica>>,
@@ -149,17 +149,17 @@
     heads: ByService<Heads>,
     budget: Cell<budget::Config>,
     /// Sidecars that gave no answer, and until when they are not asked.
-    passed_by: RefCell<HashMap<Key<Server>, Millis>>,
+    unanswered_sidecars: RefCell<HashMap<Key<Server>, Millis>>,
     relays: RefCell<Relays>,
     /// Rows of the list of servers that name none, as far as they were logged.
-    passed_over: RefCell<BTreeSet<String>>,
+    ignored_rows_logged: RefCell<BTreeSet<String>>,
     phase: Cell<Phase>,
     in_flight: Cell<usize>,
-    last_request: Cell<Millis>,
+    last_request_at: Cell<Millis>,
     /// When streams are taken no more, while the process stops.
-    last_stream: Cell<Millis>,
+    streams_accepted_until: Cell<Millis>,
     /// When nothing is taken any more, while the process stops.
-    last_taken: Cell<Millis>,
+    requests_accepted_until: Cell<Millis>,
 }
 
 impl<P: Platform> Gateway<P> {
@@ -175,29 +175,29 @@
             platform,
             clock,
             suspension: Cell::default(),
-            journal: Journal::default(),
+            event_log: EventLog::default(),
             metrics: Metrics::default(),
             connections: Connections::new(clock),
             sidecars: Connections::new(clock),
             sidecars_port,
-            stalled: Notify::new(),
-            urgent: Notify::new(),
-            told: Notify::new(),
+            stall_detected: Notify::new(),
+            urgent_gossip: Notify::new(),
+            urgent_gossip_done: Notify::new(),
             urgent_rounds: Cell::new(None),
-            findings: RefCell::default(),
+            slow_server_reports: RefCell::default(),
             crashes: RefCell::new(Crashes::new(
                 CrashConfig::default(),
                 Reporter(own.incarnation_id().0),
             )),
-            found: RefCell::default(),
+            crash_detection: RefCell::default(),
             crashes_changed: Notify::new(),
             permits: RefCell::new(Permits::new(clock.now())),
-            permit_givers: Givers::default(),
-            permits_told: Notify::new(),
-            limits_known: Notify::new(),
+            permit_granters: Givers::default(),
+            permit_reply_received: Notify::new(),
+            limits_changed: Notify::new(),
             serving: RefCell::default(),
-            kept: RefCell::default(),
-            peers_asked: Cell::default(),
+            retained_configuration: RefCell::default(),
+            peer_state_received: Cell::default(),
             pool: RefCell::new(Pool::new(pool::Config::default())),
             members: RefCell::new(Members::new(members::Config::default(), own)),
             replicas: RefCell::new(Table::ALL.map(|table| (table, Replica::default())).into()),
@@ -210,14 +210,14 @@
             entrances: ByService::default(),
             heads: ByService::default(),
             budget: Cell::new(budget),
-            passed_by: RefCell::default(),
+            unanswered_sidecars: RefCell::default(),
             relays: RefCell::default(),
-            passed_over: RefCell::default(),
+            ignored_rows_logged: RefCell::default(),
             phase: Cell::new(Phase::Running),
             in_flight: Cell::new(0),
-            last_request: Cell::new(Millis::ZERO),
-            last_stream: Cell::new(Millis::MAX),
-            last_taken: Cell::new(Millis::MAX),
+            last_request_at: Cell::new(Millis::ZERO),
+            streams_accepted_until: Cell::new(Millis::MAX),
+            requests_accepted_until: Cell::new(Millis::MAX),
         }
     }
 
@@ -231,14 +231,14 @@
     }
 
     /// How long this process stood still, if that ended less than `within` ago.
-    pub fn stood_still(&self, within: Millis) -> Option<Millis> {
+    pub fn recent_suspension(&self, within: Millis) -> Option<Millis> {
         let now = self.now();
         self.suspension.get().ended_within(within, now)
     }
 
     /// How many gateways share what is bounded for all of them. After a standstill nobody has been heard of
     /// lately; then all that are known do.
-    fn sharing(&self, now: Millis) -> usize {
+    fn count_sharing(&self, now: Millis) -> usize {
         let members = self.members.borrow();
         if self.suspension.get().ended_within(HEAR_AGAIN, now).is_some() {
             return members.known().count();
@@ -275,13 +275,13 @@
 
     fn knows_enough(&self) -> bool {
         let has_tables = self.serving.borrow().version > 0 && self.knows(Table::Servers);
-        let peers_asked = self.peers_asked.get() || self.now() >= ASK_FIRST;
-        has_tables && self.found.borrow().is_read && peers_asked
+        let peer_state_received = self.peer_state_received.get() || self.now() >= ASK_FIRST;
+        has_tables && self.crash_detection.borrow().is_read && peer_state_received
     }
 
     /// Another gateway has told what it knows, or there is none.
-    pub fn note_peers_asked(&self) {
-        self.peers_asked.set(true);
+    pub fn note_peer_state_received(&self) {
+        self.peer_state_received.set(true);
     }
 
     /// Where the process stands in its life.
@@ -293,15 +293,15 @@
     pub fn begin_stop(&self, within: Millis) {
         self.phase.set(Phase::Stopping);
         let after = |(part, of): (u64, u64)| self.now() + Millis(within.0 * part / of);
-        self.last_stream.set(after(STREAM_PART));
-        self.last_taken.set(after(REQUEST_PART));
+        self.streams_accepted_until.set(after(STREAM_PART));
+        self.requests_accepted_until.set(after(REQUEST_PART));
     }
 
     /// Whether a request that comes now can be expected to end before the process does.
-    pub fn takes(&self, kind: RouteKind) -> bool {
+    pub fn accepts(&self, kind: RouteKind) -> bool {
         let last = match kind {
-            RouteKind::Stream => &self.last_stream,
-            RouteKind::Repeatable | RouteKind::Once => &self.last_taken,
+            RouteKind::Stream => &self.streams_accepted_until,
+            RouteKind::Repeatable | RouteKind::Once => &self.requests_accepted_until,
         };
         self.now() < last.get()
     }
@@ -312,26 +312,26 @@
     }
 
     /// When the last request came.
-    pub fn last_request(&self) -> Millis {
-        self.last_request.get()
+    pub fn last_request_at(&self) -> Millis {
+        self.last_request_at.get()
     }
 
     /// A request came; it is in flight as long as what is returned lives.
     pub fn begin_request(self: &Rc<Self>) -> InFlight<P> {
         self.in_flight.set(self.in_flight.get() + 1);
-        self.last_request.set(self.now());
+        self.last_request_at.set(self.now());
         InFlight { gateway: self.clone() }
     }
 
     /// Whether a server's engine is asked through the process beside it.
     pub fn uses_sidecar(&self, server: Key<Server>) -> bool {
-        let until = self.passed_by.borrow().get(&server).copied().unwrap_or_default();
+        let until = self.unanswered_sidecars.borrow().get(&server).copied().unwrap_or_default();
         self.sidecars_port > 0 && until <= self.now()
     }
 
     /// The process beside a server gave no answer: the engine is asked directly for a while.
-    pub fn pass_sidecar_by(&self, server: Key<Server>) {
-        self.passed_by.borrow_mut().insert(server, self.now() + PASS_BY);
+    pub fn mark_sidecar_unanswered(&self, server: Key<Server>) {
+        self.unanswered_sidecars.borrow_mut().insert(server, self.now() + PASS_BY);
     }
 
     /// The gateway through which an order goes that no machine of its group should give.
@@ -345,8 +345,8 @@
     }
 
     /// A gateway relayed nothing: it is passed by for a while.
-    pub fn pass_relay_by(&self, relay: IpAddr) {
-        self.journal.state(format_args!("{relay} relayed no order, and is passed by"));
+    pub fn mark_relay_unanswered(&self, relay: IpAddr) {
+        self.event_log.state(format_args!("{relay} relayed no order, and is passed by"));
         self.relays.borrow_mut().mark_unanswered(relay, self.now());
     }
 
@@ -362,9 +362,9 @@
         }
         self.with_members(|members| members.set_store_answers(answers));
         if answers {
-            self.journal.state(format_args!("store regained"));
+            self.event_log.state(format_args!("store regained"));
         } else {
-            self.journal.state(format_args!("store lost: {reason}"));
+            self.event_log.state(format_args!("store lost: {reason}"));
         }
     }
 
@@ -375,38 +375,38 @@
     }
 
     /// Takes one repeat at a service from this gateway's part of the budget.
-    pub fn take_repeat(&self, service: &str) -> bool {
+    pub fn take_retry(&self, service: &str) -> bool {
         let now = self.now();
-        let gateways = self.sharing(now);
+        let gateways = self.count_sharing(now);
         let covered = self.with_budget(service, |budget| budget.take(now, gateways));
         if !covered {
-            self.metrics.repeats_denied.inc();
+            self.metrics.retries_denied.inc();
         }
         covered
     }
 
     /// Whether this gateway's part of the budget has a repeat at a service left.
-    pub fn covers_repeat(&self, service: &str) -> bool {
+    pub fn budget_has_retry(&self, service: &str) -> bool {
         let now = self.now();
-        let gateways = self.sharing(now);
+        let gateways = self.count_sharing(now);
         self.with_budget(service, |budget| budget.has_retry(now, gateways))
     }
 
     /// No server of a service could take a request.
-    pub fn note_out(&self, service: &str) {
+    pub fn note_outage_began(&self, service: &str) {
         let now = self.now();
         self.with_outages(service, |outages| outages.began(now));
     }
 
     /// A server of a service has taken a request.
-    pub fn note_taken(&self, service: &str) {
+    pub fn note_outage_ended(&self, service: &str) {
         let now = self.now();
         self.with_outages(service, |outages| outages.ended(now));
     }
 
     /// When a caller that is refused now shall come back, if no server of the service takes requests.
-    pub fn come_back(&self, service: &str) -> Option<Millis> {
-        if let Some(after) = self.all_bound(service) {
+    pub fn outage_retry_after(&self, service: &str) -> Option<Millis> {
+        if let Some(after) = self.all_unavailable_for(service) {
             return Some(after);
         }
         let (now, part) = (self.now(), rand::rng().random());
--- a/crates/direct/src/gateway/configurations.rs
+++ b/crates/direct/src/gateway/configurations.rs
@@ -12,7 +12,7 @@
 use hooktrestle_core::direct::serving::ServingConfig;
 
 use crate::gateway::Gateway;
-use crate::gateway::findings::Reach;
+use crate::gateway::slow_servers::Reach;
 use crate::platform::Platform;
 use crate::platform::Table;
 
@@ -26,12 +26,12 @@
         let in_force = self.serving.borrow().version;
         match decoded {
             Ok(Some(serving)) if serving.version >= in_force => {
-                self.kept.replace(None);
+                self.retained_configuration.replace(None);
                 self.bring_into_force(serving, source);
             }
             Ok(_) => {}
             Err(error) => {
-                self.journal
+                self.event_log
                     .state(format_args!("configuration {in_force} stays in force: {error}"));
             }
         }
@@ -40,13 +40,13 @@
     fn bring_into_force(&self, serving: ServingConfig, source: &str) {
         let version = serving.version;
         self.serving.replace(Rc::new(serving));
-        self.journal.state(format_args!("configuration {version} in force, from {source}"));
+        self.event_log.state(format_args!("configuration {version} in force, from {source}"));
     }
 
     /// Keeps the table of the configuration, as it is about to be replaced by an older copy.
-    pub(super) fn keep_configuration(&self) {
+    pub(super) fn retain_configuration(&self) {
         let replica = self.replicas.borrow().get(&Table::Configuration).cloned();
-        let mut kept = self.kept.borrow_mut();
+        let mut kept = self.retained_configuration.borrow_mut();
         if kept.is_none() {
             *kept = replica.filter(|replica| replica.revision() > Revision::default());
         }
@@ -54,22 +54,22 @@
 
     /// The configuration in force, for another gateway in which an older one is: where the store holds it,
     /// the other hears of it with the table.
-    pub fn kept_for(&self, version: u64) -> Option<Update> {
+    pub fn retained_for_peer(&self, version: u64) -> Option<Update> {
         let is_behind = version < self.serving.borrow().version;
-        let kept = self.kept.borrow();
+        let kept = self.retained_configuration.borrow();
         kept.as_ref().filter(|_| is_behind)?.since(Revision::default())
     }
 
     /// Takes a configuration that another gateway kept.
-    pub fn take_kept(&self, update: &Update) {
+    pub fn apply_retained_configuration(&self, update: &Update) {
         let mut replica = Replica::default();
         replica.apply(update);
         let decoded = self.platform.serving(&replica);
         let Ok(Some(serving)) = decoded else { return };
         if serving.version > self.serving.borrow().version {
-            self.kept.replace(Some(replica));
+            self.retained_configuration.replace(Some(replica));
             self.bring_into_force(serving, "peer");
-            self.hand_on(Reach::Near);
+            self.request_urgent_gossip(Reach::DataCentre);
         }
     }
 }
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -30,18 +30,18 @@
 
 use crate::connections::Connection;
 use crate::gateway::Gateway;
-use crate::gateway::findings::Reach;
+use crate::gateway::slow_servers::Reach;
 use crate::permits;
 use crate::permits::Wanted;
-use crate::platform::KeptCrashes;
 use crate::platform::Platform;
+use crate::platform::StoredCrashes;
 
 /// Longest wait until others were told: some rounds of news, of a few milliseconds each.
 const MOST_TELLING: Duration = Duration::from_millis(50);
 
 /// When a caller shall come back whose request is out for another one, and time between two trials at different
 /// gateways: the users' streams last 1 to 2 s.
-pub(crate) const TRIAL: Millis = Millis(1_500);
+pub(crate) const TRIAL_INTERVAL: Millis = Millis(1_500);
 
 /// How far a request came at a server, and when.
 #[derive(Clone, Copy, Debug)]
@@ -91,13 +91,13 @@
 
 impl<P: Platform> Drop for Trial<P> {
     fn drop(&mut self) {
-        self.gateway.found.borrow_mut().on_trial.remove(&self.fingerprint);
+        self.gateway.crash_detection.borrow_mut().on_trial.remove(&self.fingerprint);
     }
 }
 
 /// What this gateway has found out itself; what all know is in [`Crashes`].
 #[derive(Default)]
-pub(super) struct Found {
+pub(super) struct CrashDetection {
     broken: HashMap<Key<Server>, Broken>,
     /// Requests that were at a crash here: this gateway has them kept on the platform.
     own: BTreeSet<Fingerprint>,
@@ -112,7 +112,7 @@
 impl<P: Platform> Gateway<P> {
     /// Why a request is sent to no server, and for how much longer, if it is not: servers crash under it, or one did
     /// just as it began there.
-    pub fn turns_away(&self, fingerprint: Fingerprint) -> Option<(Cause, Millis)> {
+    pub fn crash_refusal(&self, fingerprint: Fingerprint) -> Option<(Cause, Millis)> {
         let now = self.now();
         let crashes = self.crashes.borrow();
         if let Some(left) = crashes.refused_for(fingerprint, now) {
@@ -127,18 +127,18 @@
     /// # Errors
     ///
     /// It is turned away, or tried one at a time, and another one is out: why, and for how much longer.
-    pub async fn begin(
+    pub async fn begin_trial_if_suspect(
         self: &Rc<Self>,
         fingerprint: Fingerprint,
     ) -> Result<Option<Trial<P>>, (Cause, Millis)> {
-        if let Some(turned_away) = self.turns_away(fingerprint) {
+        if let Some(turned_away) = self.crash_refusal(fingerprint) {
             return Err(turned_away);
         }
         if self.crashes.borrow().quarantine(fingerprint, self.now()) != Quarantine::OneAtATime {
             return Ok(None);
         }
-        if !self.found.borrow_mut().on_trial.insert(fingerprint) {
-            return Err((Cause::CrashSuspect, TRIAL));
+        if !self.crash_detection.borrow_mut().on_trial.insert(fingerprint) {
+            return Err((Cause::CrashSuspect, TRIAL_INTERVAL));
         }
         let trial = Trial { gateway: self.clone(), fingerprint };
         // Where nobody answers, this gateway alone can be held to one at a time.
@@ -150,14 +150,14 @@
 
     /// Waits until other gateways had time to hear what cannot wait, as far as that takes no longer than a caller
     /// takes to notice that its answer broke off and to come again elsewhere.
-    pub async fn until_told(&self) {
+    pub async fn await_urgent_gossip(&self) {
         // In vain where others cannot be reached.
-        drop(time::timeout(MOST_TELLING, self.told.notified()).await);
+        drop(time::timeout(MOST_TELLING, self.urgent_gossip_done.notified()).await);
     }
 
     /// A request has had no whole answer of a server. Whether the server has crashed is known at the return where that
     /// decides whether the request may be sent again, else soon.
-    pub async fn note_broken(
+    pub async fn note_truncated(
         self: &Rc<Self>,
         server: Key<Server>,
         fingerprint: Fingerprint,
@@ -166,7 +166,7 @@
         let now = self.now();
         let suspect = progress.suspect(fingerprint, now);
         let (finding, is_asked) = {
-            let mut found = self.found.borrow_mut();
+            let mut found = self.crash_detection.borrow_mut();
             found.broken.retain(|_, broken| !broken.answers.is_expired(now));
             let broken = found.broken.entry(server).or_insert_with(|| Broken {
                 answers: TruncatedAnswers::default(),
@@ -193,7 +193,7 @@
     }
 
     fn set_asked(&self, server: Key<Server>, is_asked: bool) {
-        if let Some(broken) = self.found.borrow_mut().broken.get_mut(&server) {
+        if let Some(broken) = self.crash_detection.borrow_mut().broken.get_mut(&server) {
             broken.is_asked = is_asked;
         }
     }
@@ -201,7 +201,7 @@
     /// Finds out whether a server has crashed.
     async fn find_out(self: &Rc<Self>, server: Key<Server>) {
         let address = self.with_pool(|pool| pool.server(server).listed.address);
-        self.metrics.dialled.inc();
+        self.metrics.connections_opened.inc();
         match Connection::open(server, address).await {
             Ok(connection) => self.connections.keep(connection),
             Err(error) if is_refusal(&error) => self.crashed(server),
@@ -215,7 +215,7 @@
     pub(super) fn note_unlisted(&self) {
         let now = self.now();
         let gone: Vec<Key<Server>> = {
-            let (found, pool) = (self.found.borrow(), self.pool.borrow());
+            let (found, pool) = (self.crash_detection.borrow(), self.pool.borrow());
             let open = found.broken.iter().filter(|(key, broken)| {
                 let is_gone = !pool.is_present(**key) && !pool.server(**key).is_leaving();
                 is_gone && broken.finding == Finding::Open && !broken.answers.is_expired(now)
@@ -226,7 +226,7 @@
     }
 
     fn crashed(&self, server: Key<Server>) {
-        if let Some(broken) = self.found.borrow_mut().broken.get_mut(&server) {
+        if let Some(broken) = self.crash_detection.borrow_mut().broken.get_mut(&server) {
             if broken.finding == Finding::Open {
                 self.metrics.servers_crashed.inc();
             }
@@ -238,7 +238,7 @@
     /// Reports what was at a server that crashed.
     fn report(&self, server: Key<Server>) {
         let (crashed_at, suspects) = {
-            let mut found = self.found.borrow_mut();
+            let mut found = self.crash_detection.borrow_mut();
             let Some(broken) = found.broken.get_mut(&server) else { return };
             let (crashed_at, suspects) = broken.answers.confirm_crash();
             found.own.extend(suspects.iter().map(|suspect| suspect.fingerprint));
@@ -250,17 +250,18 @@
         let life = self.with_pool(|pool| {
             let listed = &pool.server(server).listed;
             let count = suspects.len();
-            self.journal.state(format_args!("server {} crashed under {count} requests", listed.id));
+            self.event_log
+                .state(format_args!("server {} crashed under {count} requests", listed.id));
             ServerIncarnation::of(&listed.id, listed.started_unix_ms)
         });
         let age = self.now().since(crashed_at);
         let reporter = Reporter(self.with_members(|members| members.own().incarnation_id().0));
-        self.take_crashes(&[Crash { server: life, reporter, age, suspects }], &[]);
+        self.merge_crashes(&[Crash { server: life, reporter, age, suspects }], &[]);
     }
 
     /// A server has answered what was sent to it at `sent_at`.
-    pub fn note_lives(&self, server: Key<Server>, sent_at: Millis) {
-        let mut found = self.found.borrow_mut();
+    pub fn note_server_answered(&self, server: Key<Server>, sent_at: Millis) {
+        let mut found = self.crash_detection.borrow_mut();
         let broken = found.broken.get_mut(&server);
         if let Some(broken) = broken.filter(|broken| broken.finding == Finding::Open) {
             broken.answers.record_answer(sent_at);
@@ -268,14 +269,14 @@
     }
 
     /// A request has had its whole answer.
-    pub fn note_well(&self, fingerprint: Fingerprint) {
+    pub fn note_completed(&self, fingerprint: Fingerprint) {
         let now = self.now();
         let news = self.crashes.borrow_mut().record_completed(fingerprint, now);
         self.act_on(news, now);
     }
 
     /// Takes what was found here, or what another gateway tells, and hands it on at once if it cannot wait.
-    pub fn take_crashes(&self, crashes: &[Crash], cleared: &[Cleared]) {
+    pub fn merge_crashes(&self, crashes: &[Crash], cleared: &[Cleared]) {
         let now = self.now();
         let news = {
             let mut known = self.crashes.borrow_mut();
@@ -293,7 +294,7 @@
         self.tell_refused(now);
         self.crashes_changed.notify_one();
         if news == MergeOutcome::Urgent {
-            self.hand_on(Reach::All);
+            self.request_urgent_gossip(Reach::All);
         }
     }
 
@@ -302,20 +303,21 @@
         let refused: BTreeSet<Fingerprint> =
             self.crashes.borrow().refused(now).into_iter().collect();
         self.metrics.crashing_known.set(refused.len() as i64);
-        let mut found = self.found.borrow_mut();
+        let mut found = self.crash_detection.borrow_mut();
         for fingerprint in refused.difference(&found.told) {
             let number = fingerprint.0;
-            self.journal.state(format_args!("request {number} is refused: servers crash under it"));
+            self.event_log
+                .state(format_args!("request {number} is refused: servers crash under it"));
         }
         for fingerprint in found.told.difference(&refused) {
-            self.journal.state(format_args!("request {} is refused no more", fingerprint.0));
+            self.event_log.state(format_args!("request {} is refused no more", fingerprint.0));
         }
         found.told = refused;
     }
 
     /// What the platform keeps of crashes was read, or could not be: callers may be sent here.
     pub fn note_crashes_read(&self) {
-        self.found.borrow_mut().is_read = true;
+        self.crash_detection.borrow_mut().is_read = true;
     }
 
     /// Does something with all that is known of crashes.
@@ -324,18 +326,18 @@
     }
 
     /// Forgets what is too old; returns what was at more than one crash, and at one here.
-    pub fn crashes_to_keep(&self) -> Vec<KeptCrashes> {
+    pub fn crashes_to_store(&self) -> Vec<StoredCrashes> {
         let now = self.now();
         self.crashes.borrow_mut().expire(now);
         self.tell_refused(now);
         let crashes = self.crashes.borrow();
         let worth = crashes.repeat_suspects(now);
-        let mut found = self.found.borrow_mut();
+        let mut found = self.crash_detection.borrow_mut();
         found.own.retain(|one| crashes.is_suspect(*one));
         let kept = found
             .own
             .intersection(&worth)
-            .map(|one| KeptCrashes { fingerprint: *one, crashes: crashes.crashes_of(*one, now) });
+            .map(|one| StoredCrashes { fingerprint: *one, crashes: crashes.crashes_of(*one, now) });
         kept.collect()
     }
 }
--- a/crates/direct/src/gateway/eras.rs
+++ b/crates/direct/src/gateway/eras.rs
@@ -32,7 +32,7 @@
 
     /// A moment within a span that is longer the more gateways there are: what all write again at once would be
     /// more than the store takes.
-    pub fn turn_to_write(&self) -> Duration {
+    pub fn write_delay(&self) -> Duration {
         let all = self.with_members(|members| members.known().count());
         Duration::from(Millis(WRITE_EACH.0 * all as u64)).mul_f64(rand::rng().random())
     }
@@ -45,7 +45,7 @@
         }
         if known.is_some() {
             self.metrics.store_eras.inc();
-            self.journal.state(format_args!("the store came back from an older copy: era {era}"));
+            self.event_log.state(format_args!("the store came back from an older copy: era {era}"));
             let now = self.now();
             self.era_began_at.set(Some(now));
             self.with_members(|members| members.begin_era(now));
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -14,7 +14,7 @@
 use http::response::Parts;
 
 use crate::gateway::Gateway;
-use crate::gateway::findings::Reach;
+use crate::gateway::slow_servers::Reach;
 use crate::headers;
 use crate::permits;
 use crate::permits::Wanted;
@@ -29,7 +29,7 @@
 
 impl Permit {
     /// Whether it is leave to send to a server that names a limit by now.
-    pub fn is_good(self, now: Millis) -> bool {
+    pub fn is_valid(self, now: Millis) -> bool {
         self.good_until.is_some_and(|until| until > now)
     }
 }
@@ -51,7 +51,7 @@
         let named = headers::text(&head.headers, &self.platform.headers().limit);
         let limit = match named {
             Some(text) => {
-                self.metrics.limits_named.inc();
+                self.metrics.limits_advertised.inc();
                 Some(Rate::from_text(text)?)
             }
             None if lifts && self.with_pool(|pool| pool.limit(server).is_some()) => None,
@@ -62,13 +62,13 @@
         self.act_on_limit(heard);
         if heard != LimitMergeOutcome::Unchanged {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
-            self.journal.state(format_args!("server {id} takes {} a second", Told(limit)));
+            self.event_log.state(format_args!("server {id} takes {} a second", Told(limit)));
         }
         named.filter(|_| heard != LimitMergeOutcome::Unchanged)
     }
 
     /// Takes what another gateway tells of limits.
-    pub fn take_limits(&self, told: &[(ServerIncarnation, LimitAdvertisement)]) {
+    pub fn apply_limits(&self, told: &[(ServerIncarnation, LimitAdvertisement)]) {
         let heard = self.with_pool(|pool| {
             told.iter().map(|(server, said)| pool.merge_limit_of(*server, *said)).max()
         });
@@ -79,9 +79,9 @@
         if heard == LimitMergeOutcome::Unchanged {
             return;
         }
-        self.limits_known.notify_one();
+        self.limits_changed.notify_one();
         if heard == LimitMergeOutcome::Urgent {
-            self.hand_on(Reach::All);
+            self.request_urgent_gossip(Reach::All);
         }
     }
 
@@ -99,7 +99,7 @@
             pool.record_grant(server, given, now, told_at);
             if given.permits == 0 { Permission::None } else { pool.take_permit(server, told_at) }
         });
-        self.permits_told.notify_waiters();
+        self.permit_reply_received.notify_waiters();
         self.permitted(taken)
     }
 
@@ -108,7 +108,7 @@
             Permission::Free => Some(Permit { good_until: None }),
             Permission::Until(until) => Some(Permit { good_until: Some(until) }),
             Permission::Ask(_) | Permission::None => {
-                self.metrics.permits_lacking.inc();
+                self.metrics.permits_unavailable.inc();
                 None
             }
         }
--- a/crates/direct/src/gateway/asked.rs
+++ b/crates/direct/src/gateway/server_notices.rs
@@ -17,7 +17,7 @@
 impl<P: Platform> Gateway<P> {
     /// A server answered with this head: whether it leaves, and whether it wants a rest. Returns what it
     /// asked, if that is a rest.
-    pub fn note_asked<'a>(&self, server: Key<Server>, head: &'a Parts) -> Option<&'a str> {
+    pub fn note_server_notices<'a>(&self, server: Key<Server>, head: &'a Parts) -> Option<&'a str> {
         self.note_leaving(server, head);
         let turns_away = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         if !turns_away.contains(&head.status) {
@@ -26,13 +26,13 @@
         let asked = headers::text(&head.headers, &header::RETRY_AFTER)?;
         let span = server_notices::parse_back_off(asked)?;
         let now = self.now();
-        self.metrics.rests_asked.inc();
-        let all_bound = self.with_pool(|pool| {
+        self.metrics.back_offs_received.inc();
+        let all_unavailable_for = self.with_pool(|pool| {
             pool.back_off(server, span, now);
             let service = pool.server(server).listed.service.clone();
             pool.all_unavailable_until(&service, now).map(|_| service)
         });
-        if let Some(service) = all_bound {
+        if let Some(service) = all_unavailable_for {
             // Whoever waits there is told at once.
             self.entrance(&service).let_all_go();
         }
@@ -49,14 +49,14 @@
         }
         if self.with_pool(|pool| pool.mark_leaving(server)) {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
-            self.journal.state(format_args!("server {id} says that it leaves"));
+            self.event_log.state(format_args!("server {id} says that it leaves"));
         }
     }
 
     /// When a caller shall come back, if all servers of a service that would take requests have asked for
     /// a rest or are at their limits: once the first takes requests, or soon after, or all callers would come at that
     /// moment.
-    pub fn all_bound(&self, service: &str) -> Option<Millis> {
+    pub fn all_unavailable_for(&self, service: &str) -> Option<Millis> {
         let now = self.now();
         let until = self.with_pool(|pool| pool.all_unavailable_until(service, now))?;
         Some(outage::add_jitter(until.since(now), rand::rng().random()))
--- a/crates/direct/src/gateway/findings.rs
+++ b/crates/direct/src/gateway/slow_servers.rs
@@ -16,42 +16,42 @@
     /// Those of the own data centre: each has some that follow the store closely, and bytes between data
     /// centres are priced. Told to all, changes of a day on which the configuration grew by 1,400 routes
     /// took 0.39 GB more between data centres.
-    Near,
+    DataCentre,
     /// All.
     All,
 }
 
 impl<P: Platform> Gateway<P> {
     /// What the leaders of expert maps found of servers.
-    pub fn with_findings<T>(&self, act: impl FnOnce(&SlowServerReports) -> T) -> T {
-        act(&self.findings.borrow())
+    pub fn with_slow_server_reports<T>(&self, act: impl FnOnce(&SlowServerReports) -> T) -> T {
+        act(&self.slow_server_reports.borrow())
     }
 
     /// Takes a finding, from the own lead or from another gateway, and hands it on at once if it is
     /// new.
-    pub fn take_finding(&self, service: &str, finding: &SlowServerReport) {
+    pub fn apply_slow_server_report(&self, service: &str, finding: &SlowServerReport) {
         let now = self.now();
-        if !self.findings.borrow_mut().apply(service, finding, now) {
+        if !self.slow_server_reports.borrow_mut().apply(service, finding, now) {
             return;
         }
         self.with_pool(|pool| pool.set_slow(service, &finding.servers, finding.age, now));
-        self.hand_on(Reach::All);
+        self.request_urgent_gossip(Reach::All);
     }
 
     /// Exchanges news at once: there is some that cannot wait.
-    pub fn hand_on(&self, reach: Reach) {
-        let reach = self.urgent_reach().map_or(reach, |waiting| waiting.max(reach));
+    pub fn request_urgent_gossip(&self, reach: Reach) {
+        let reach = self.urgent_gossip_reach().map_or(reach, |waiting| waiting.max(reach));
         self.urgent_rounds.set(Some((URGENT_ROUNDS, reach)));
-        self.urgent.notify_one();
+        self.urgent_gossip.notify_one();
     }
 
     /// With whom news are to be exchanged at once, if with anybody.
-    pub fn urgent_reach(&self) -> Option<Reach> {
+    pub fn urgent_gossip_reach(&self) -> Option<Reach> {
         self.urgent_rounds.get().map(|(_, reach)| reach)
     }
 
     /// Takes one of the rounds of news that are to be made at once, if one is left.
-    pub fn take_urgent_round(&self) -> Option<Reach> {
+    pub fn take_urgent_gossip_round(&self) -> Option<Reach> {
         let (left, reach) = self.urgent_rounds.get()?;
         self.urgent_rounds.set((left > 1).then_some((left - 1, reach)));
         Some(reach)
--- a/crates/direct/src/gateway/tables.rs
+++ b/crates/direct/src/gateway/tables.rs
@@ -6,7 +6,7 @@
 use hooktrestle_core::direct::replica::Update;
 
 use crate::gateway::Gateway;
-use crate::gateway::findings::Reach;
+use crate::gateway::slow_servers::Reach;
 use crate::platform::Malformed;
 use crate::platform::Platform;
 use crate::platform::Table;
@@ -32,10 +32,10 @@
     }
 
     /// Takes news of a table, from the store or from another gateway, and brings it into force.
-    pub fn take(&self, table: Table, update: &Update, source: &'static str) {
+    pub fn apply_update(&self, table: Table, update: &Update, source: &'static str) {
         let known = self.revision(table);
         if table == Table::Configuration && update.revision.era > known.era {
-            self.keep_configuration();
+            self.retain_configuration();
         }
         let taken = match self.replicas.borrow_mut().get_mut(&table) {
             Some(replica) => replica.apply(update),
@@ -45,7 +45,7 @@
         let era_began = revision.era > known.era;
         if era_began {
             let name = table.name();
-            self.journal.state(format_args!("{name} taken at {revision}, from {source}"));
+            self.event_log.state(format_args!("{name} taken at {revision}, from {source}"));
         }
         self.note_era(revision.era);
         let mut changed = taken.changed;
@@ -60,7 +60,7 @@
         }
         if known > Revision::default() {
             // Most gateways hear of changes from each other alone.
-            self.hand_on(Reach::Near);
+            self.request_urgent_gossip(Reach::DataCentre);
         }
         match table {
             Table::Configuration => self.configure(source),
@@ -78,7 +78,7 @@
         if !lost.is_empty() {
             let keys: Vec<&str> = lost.iter().map(|lost| lost.key.as_str()).collect();
             let line = format_args!("lost to the store, held for now: servers {}", keys.join(", "));
-            self.journal.state(line);
+            self.event_log.state(line);
         }
         self.unconfirmed.borrow_mut().begin(lost, replica, self.now());
         self.rows_lost.notify_one();
@@ -110,8 +110,8 @@
 
     /// The store told a table that is older than what is known of it.
     pub fn note_old_table(&self, table: Table, revision: Revision) {
-        self.metrics.tables_read_old.inc();
-        self.journal.state(format_args!(
+        self.metrics.stale_tables_read.inc();
+        self.event_log.state(format_args!(
             "{} read at revision {revision}, known up to {}: passed over",
             table.name(),
             self.revision(table)
@@ -134,7 +134,7 @@
             match listed {
                 Some(Ok(listed)) => {
                     if listed.leaving {
-                        self.journal.state(format_args!("server {id} is leaving, from {source}"));
+                        self.event_log.state(format_args!("server {id} is leaving, from {source}"));
                     }
                     pool.list(listed, replica.revision_of(id));
                 }
@@ -143,7 +143,7 @@
                     pool.unlist(id);
                 }
                 None => {
-                    self.journal.state(format_args!("server {id} is gone, from {source}"));
+                    self.event_log.state(format_args!("server {id} is gone, from {source}"));
                     pool.unlist(id);
                 }
             }
@@ -152,10 +152,10 @@
 
     /// A row of the list names no server: counted, and logged once a row, for so many rows.
     fn note_no_server(&self, id: &str, error: &Malformed) {
-        self.metrics.rows_passed_over.inc();
-        let mut told = self.passed_over.borrow_mut();
+        self.metrics.rows_ignored.inc();
+        let mut told = self.ignored_rows_logged.borrow_mut();
         if told.len() < MOST_PASSED_OVER_TOLD && told.insert(id.to_owned()) {
-            self.journal.state(format_args!("server passed over: {error}"));
+            self.event_log.state(format_args!("server passed over: {error}"));
         }
     }
 }
--- a/crates/direct/src/maps.rs
+++ b/crates/direct/src/maps.rs
@@ -38,7 +38,7 @@
 use crate::engine;
 use crate::engine::Path;
 use crate::gateway::Gateway;
-use crate::gateway::findings::Reach;
+use crate::gateway::slow_servers::Reach;
 use crate::maps::paces::Paces;
 use crate::platform::Claim;
 use crate::platform::Claimant;
@@ -120,7 +120,7 @@
     // After a standstill it begins anew: others were not silent, this process was. A claim that was lost with
     // an era protects its holder no more, of whom not all may have heard.
     gateway.now() >= listen
-        && gateway.stood_still(listen).is_none()
+        && gateway.recent_suspension(listen).is_none()
         && !gateway.era_began_within(spread)
 }
 
@@ -200,7 +200,7 @@
     let mut written_in = gateway.platform.store_era();
     let Some(fence) = claim(&gateway, &name, &lead).await else { return };
     gateway.with_members(|members| members.begin_leadership(fence));
-    gateway.hand_on(Reach::All);
+    gateway.request_urgent_gossip(Reach::All);
     let service = Rc::new(Service::new(gateway, name, shape, fence, lead));
     let mut started: BTreeSet<String> = BTreeSet::new();
     while !service.lead.is_over() {
@@ -221,27 +221,27 @@
         time::sleep(COUNTS_EVERY).await;
     }
     service.gateway.with_members(|members| members.end_leadership(service.fence));
-    service.gateway.journal.state(format_args!("maps of {} are not led any more", service.name));
+    service.gateway.event_log.state(format_args!("maps of {} are not led any more", service.name));
 }
 
 /// Claims the lead of a service's maps, and returns its fencing token; ends the lead without one.
 async fn claim<P: Platform>(gateway: &Gateway<P>, service: &str, lead: &Lead) -> Option<u64> {
     // Until all have heard who leads, nobody else may: one that has not would give orders, too.
-    let (holder, newest, protected) = gateway.with_members(|members| {
+    let (holder, newest_token, protected) = gateway.with_members(|members| {
         (members.own().name.clone(), members.highest_fencing_token(), members.propagation_time())
     });
-    let claimant = Claimant { holder: &holder, newest };
-    match gateway.platform.claim_maps(service, &claimant, protected).await {
+    let claimant = Claimant { holder: &holder, newest_token };
+    match gateway.platform.claim_map_leadership(service, &claimant, protected).await {
         Ok(Claim::Held(fence)) => {
-            gateway.journal.state(format_args!("maps of {service} are led with fence {fence}"));
+            gateway.event_log.state(format_args!("maps of {service} are led with fence {fence}"));
             return Some(fence);
         }
         Ok(Claim::HeldBy(other)) => {
-            gateway.journal.state(format_args!("maps of {service} are led by {other}"));
+            gateway.event_log.state(format_args!("maps of {service} are led by {other}"));
             lead.yield_for(protected, gateway.now());
         }
         Err(failure) => {
-            gateway.journal.state(format_args!("maps of {service} are not led: {failure}"));
+            gateway.event_log.state(format_args!("maps of {service} are not led: {failure}"));
             lead.end();
         }
     }
@@ -288,18 +288,18 @@
         self.renew_at.set(now + RENEW_EVERY);
         let era = self.gateway.platform.store_era();
         let holder = self.gateway.with_members(|members| members.own().name.clone());
-        let claimant = Claimant { holder: &holder, newest: self.fence };
-        match self.gateway.platform.renew_maps(&self.name, &claimant).await {
+        let claimant = Claimant { holder: &holder, newest_token: self.fence };
+        match self.gateway.platform.renew_map_leadership(&self.name, &claimant).await {
             Ok(Claim::Held(_)) => return era,
             Ok(Claim::HeldBy(other)) => {
                 let line = format_args!("maps of {} are led by {other}", self.name);
-                self.gateway.journal.state(line);
+                self.gateway.event_log.state(line);
                 self.lead.yield_for(YIELD_WHEN_DEPOSED, self.gateway.now());
             }
             Err(failure) => {
                 let line =
                     format_args!("the claim of {} is not written again: {failure}", self.name);
-                self.gateway.journal.state(line);
+                self.gateway.event_log.state(line);
             }
         }
         written_in
@@ -343,10 +343,10 @@
     /// A server is in a group that is too large to be led: its map stays as it is, which is told.
     fn leave_unled(&self, key: Key<Server>, report: &EngineReport) {
         self.unled.borrow_mut().insert(key);
-        self.gateway.metrics.ranks_unled.inc();
+        self.gateway.metrics.ranks_without_leader.inc();
         let EngineReport { group, size, .. } = report;
         let name = &self.name;
-        self.gateway.journal.state(format_args!(
+        self.gateway.event_log.state(format_args!(
             "group {group} of {name} is not led: {size} ranks, of at most {MAX_RANKS}"
         ));
     }
@@ -421,7 +421,7 @@
         let since = self.unreached_since.get().unwrap_or(now);
         if self.unreached_since.replace(Some(since)).is_none() {
             let line = format_args!("{reached} of {all} ranks of {} are reached", self.name);
-            self.gateway.journal.state(line);
+            self.gateway.event_log.state(line);
         }
         if now.since(since) >= UNREACHED_MOST {
             self.gateway.with_members(|members| members.advertise_leadership(false));
--- a/crates/direct/src/maps/group.rs
+++ b/crates/direct/src/maps/group.rs
@@ -26,14 +26,14 @@
 use tokio::time;
 
 use crate::engine;
+use crate::engine::EncodedRequest;
 use crate::engine::Path;
-use crate::engine::Question;
 use crate::gateway::Gateway;
 use crate::maps::LEAD_EVERY;
 use crate::maps::Service;
 use crate::maps::YIELD_WHEN_DEPOSED;
-use crate::platform::EngineAsk;
 use crate::platform::EngineReport;
+use crate::platform::EngineRequest;
 use crate::platform::Platform;
 
 /// Longest time until a group is looked at again where no counts are read.
@@ -109,7 +109,7 @@
     };
     let Planned { layout, skew_before, skew_after } = planned;
     let line = format_args!("skew {skew_before:.2} is to be {skew_after:.2}");
-    service.gateway.journal.state(line);
+    service.gateway.event_log.state(line);
     Some(layout)
 }
 
@@ -139,28 +139,28 @@
     done: &Switch,
     ended: &Next,
 ) -> Option<Known> {
-    let journal = &service.gateway.journal;
+    let event_log = &service.gateway.event_log;
     match ended {
         Next::Switched => {
             let epoch = done.epoch().unwrap_or_default();
             let version = done.version();
-            journal.state(format_args!("group {group}: map {version} in force"));
+            event_log.state(format_args!("group {group}: map {version} in force"));
             let start = Start::Settled { epoch };
             Some(Known { epoch, version, layout: planned, start, unsettled: false })
         }
         Next::Superseded => {
-            journal.state(format_args!("group {group}: another leader has a higher fence"));
+            event_log.state(format_args!("group {group}: another leader has a higher fence"));
             service.lead.yield_for(YIELD_WHEN_DEPOSED, service.gateway.now());
             None
         }
         Next::VersionsExhausted => {
-            journal
+            event_log
                 .state(format_args!("group {group}: no version is left, the lead is claimed anew"));
             service.lead.end();
             None
         }
         other => {
-            journal.state(format_args!("group {group}: {other:?} at {}", done.describe()));
+            event_log.state(format_args!("group {group}: {other:?} at {}", done.describe()));
             None
         }
     }
@@ -214,7 +214,7 @@
     map: &'a [Vec<Vec<u16>>],
     /// The newest order as it is put to ranks: most rounds give all of them the same, with the whole
     /// map where it is to be prepared.
-    newest: RefCell<Option<(FencedOrder, Rc<Question>)>>,
+    newest: RefCell<Option<(FencedOrder, Rc<EncodedRequest>)>>,
 }
 
 /// How long the parts of a switch took, for logs.
@@ -275,7 +275,7 @@
             ended => {
                 parts.note(Phase::Survey, service.gateway.now());
                 let line = format_args!("map {}: {ended:?} after {parts}", switch.version());
-                service.gateway.journal.state(line);
+                service.gateway.event_log.state(line);
                 return (switch, ended);
             }
         }
@@ -304,12 +304,17 @@
 
 impl Asked<'_> {
     /// An order as it is put to ranks.
-    fn question<P: Platform>(&self, gateway: &Gateway<P>, order: FencedOrder) -> Rc<Question> {
+    fn question<P: Platform>(
+        &self,
+        gateway: &Gateway<P>,
+        order: FencedOrder,
+    ) -> Rc<EncodedRequest> {
         let mut newest = self.newest.borrow_mut();
         if let Some((_, question)) = newest.as_ref().filter(|(known, _)| *known == order) {
             return question.clone();
         }
-        let question = Rc::new(Question::new(gateway, &EngineAsk::Order(&order, self.map)));
+        let question =
+            Rc::new(EncodedRequest::new(gateway, &EngineRequest::Order(&order, self.map)));
         *newest = Some((order, question.clone()));
         question
     }
--- a/crates/direct/src/maps/paces.rs
+++ b/crates/direct/src/maps/paces.rs
@@ -84,13 +84,13 @@
         }
         if servers != paces.told.servers {
             let (all, name) = (paces.by_rank.len(), &self.name);
-            let journal = &self.gateway.journal;
-            journal.state(format_args!("{} of {all} servers of {name} are slow", servers.len()));
+            let event_log = &self.gateway.event_log;
+            event_log.state(format_args!("{} of {all} servers of {name} are slow", servers.len()));
         }
         paces.told_at = now;
         paces.told.number += 1;
         paces.told.servers = servers;
-        self.gateway.take_finding(&self.name, &paces.told);
+        self.gateway.apply_slow_server_report(&self.name, &paces.told);
     }
 
     /// The paces of these ranks, in their order.
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -19,25 +19,25 @@
     /// Requests refused or failed by the gateway.
     pub refused: Counter,
     /// Streams refused because passes would be too long with them.
-    pub crowded: Counter,
+    pub streams_over_capacity: Counter,
     /// Attempts at backend servers that were sent.
     pub attempts: Counter,
     /// Streams taken up at another server.
     pub resumed: Counter,
     /// Repeats that the budget did not cover.
-    pub repeats_denied: Counter,
+    pub retries_denied: Counter,
     /// Connections opened to backend servers.
-    pub dialled: Counter,
+    pub connections_opened: Counter,
     /// Requests taken from a server that said nothing while later ones were answered by others.
     pub overtaken: Counter,
     /// Rows of the list of servers that named none.
-    pub rows_passed_over: Counter,
+    pub rows_ignored: Counter,
     /// Tables that the store told older than they were known.
-    pub tables_read_old: Counter,
+    pub stale_tables_read: Counter,
     /// Times that the store came back from an older copy.
     pub store_eras: Counter,
     /// Servers found in groups that are too large for their expert maps to be led.
-    pub ranks_unled: Counter,
+    pub ranks_without_leader: Counter,
     /// Servers that were found to have crashed under requests of this gateway.
     pub servers_crashed: Counter,
     /// Requests that were refused because servers crash under them.
@@ -45,21 +45,21 @@
     /// Requests that were held back because a server crashed as they began there.
     pub crash_suspects_held: Counter,
     /// Rests that servers asked for.
-    pub rests_asked: Counter,
+    pub back_offs_received: Counter,
     /// Answers in which servers named a limit.
-    pub limits_named: Counter,
+    pub limits_advertised: Counter,
     /// Permits that this gateway gave to others and to itself.
-    pub permits_given: Counter,
+    pub permits_granted: Counter,
     /// Times that a request would have gone to a server for which there was no permit.
-    pub permits_lacking: Counter,
+    pub permits_unavailable: Counter,
     /// Gateways that callers may be sent to, this one included.
-    pub gateways_living: Gauge,
+    pub gateways_alive: Gauge,
     /// Different requests that are refused because servers crash under them.
     pub crashing_known: Gauge,
     /// Milliseconds from a request's head to the head of its answer.
     pub head_ms: Histogram,
     /// Milliseconds between two events of a stream: the length of a pass of its group.
-    pub pause_ms: Histogram,
+    pub event_gap_ms: Histogram,
     registry: Registry,
 }
 
@@ -70,62 +70,66 @@
             requests: Counter::default(),
             answered: Counter::default(),
             refused: Counter::default(),
-            crowded: Counter::default(),
+            streams_over_capacity: Counter::default(),
             attempts: Counter::default(),
             resumed: Counter::default(),
-            repeats_denied: Counter::default(),
-            dialled: Counter::default(),
+            retries_denied: Counter::default(),
+            connections_opened: Counter::default(),
             overtaken: Counter::default(),
-            rows_passed_over: Counter::default(),
-            tables_read_old: Counter::default(),
+            rows_ignored: Counter::default(),
+            stale_tables_read: Counter::default(),
             store_eras: Counter::default(),
-            ranks_unled: Counter::default(),
+            ranks_without_leader: Counter::default(),
             servers_crashed: Counter::default(),
             crashing_refused: Counter::default(),
             crash_suspects_held: Counter::default(),
-            rests_asked: Counter::default(),
-            limits_named: Counter::default(),
-            permits_given: Counter::default(),
-            permits_lacking: Counter::default(),
-            gateways_living: Gauge::default(),
+            back_offs_received: Counter::default(),
+            limits_advertised: Counter::default(),
+            permits_granted: Counter::default(),
+            permits_unavailable: Counter::default(),
+            gateways_alive: Gauge::default(),
             crashing_known: Gauge::default(),
             head_ms: Histogram::new(exponential_buckets(start, factor, length)),
-            pause_ms: Histogram::new(exponential_buckets(start, factor, length)),
+            event_gap_ms: Histogram::new(exponential_buckets(start, factor, length)),
             registry: Registry::with_prefix("hooktrestle"),
         };
         let counters = [
             ("requests", "Requests that were admitted", &metrics.requests),
             ("answered", "Answers that were passed on whole", &metrics.answered),
             ("refused", "Requests refused or failed by the gateway", &metrics.refused),
-            ("crowded", "Streams refused because passes would be too long", &metrics.crowded),
+            (
+                "crowded",
+                "Streams refused because passes would be too long",
+                &metrics.streams_over_capacity,
+            ),
             ("attempts", "Attempts that were sent", &metrics.attempts),
             ("resumed", "Streams taken up at another server", &metrics.resumed),
-            ("repeats_denied", "Repeats beyond the budget", &metrics.repeats_denied),
-            ("dialled", "Connections opened to backend servers", &metrics.dialled),
+            ("repeats_denied", "Repeats beyond the budget", &metrics.retries_denied),
+            ("dialled", "Connections opened to backend servers", &metrics.connections_opened),
             ("overtaken", "Requests taken from a silent server", &metrics.overtaken),
-            ("rows_passed_over", "Rows that named no server", &metrics.rows_passed_over),
-            ("tables_read_old", "Tables older than known", &metrics.tables_read_old),
+            ("rows_passed_over", "Rows that named no server", &metrics.rows_ignored),
+            ("tables_read_old", "Tables older than known", &metrics.stale_tables_read),
             ("store_eras", "Times that the store came back from a copy", &metrics.store_eras),
             ("servers_crashed", "Servers that crashed", &metrics.servers_crashed),
             ("crashing_refused", "Requests that crash servers", &metrics.crashing_refused),
             ("crash_suspects_held", "Requests held back", &metrics.crash_suspects_held),
-            ("rests_asked", "Rests that servers asked for", &metrics.rests_asked),
-            ("limits_named", "Answers in which servers named a limit", &metrics.limits_named),
-            ("permits_given", "Permits given out for all gateways", &metrics.permits_given),
-            ("permits_lacking", "Times that there was no permit", &metrics.permits_lacking),
-            ("ranks_unled", "Servers in groups too large to be led", &metrics.ranks_unled),
+            ("rests_asked", "Rests that servers asked for", &metrics.back_offs_received),
+            ("limits_named", "Answers in which servers named a limit", &metrics.limits_advertised),
+            ("permits_given", "Permits given out for all gateways", &metrics.permits_granted),
+            ("permits_lacking", "Times that there was no permit", &metrics.permits_unavailable),
+            ("ranks_unled", "Servers in groups too large to be led", &metrics.ranks_without_leader),
         ];
         for (name, help, counter) in counters {
             metrics.registry.register(name, help, counter.clone());
         }
         let help = "Gateways that are heard of, this one included";
-        metrics.registry.register("gateways_living", help, metrics.gateways_living.clone());
+        metrics.registry.register("gateways_living", help, metrics.gateways_alive.clone());
         let help = "Different requests that are refused because servers crash under them";
         metrics.registry.register("crashing_known", help, metrics.crashing_known.clone());
         let help = "Milliseconds from a request's head to its answer's head";
         metrics.registry.register("head_ms", help, metrics.head_ms.clone());
         let help = "Milliseconds between two events of a stream";
-        metrics.registry.register("pause_ms", help, metrics.pause_ms.clone());
+        metrics.registry.register("pause_ms", help, metrics.event_gap_ms.clone());
         metrics
     }
 }
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::accept;
 use crate::dial;
 use crate::gateway::Gateway;
-use crate::gateway::findings::Reach;
+use crate::gateway::slow_servers::Reach;
 use crate::peers::links::Links;
 use crate::peers::news::answer;
 use crate::peers::news::decode;
@@ -59,7 +59,7 @@
 /// Accepts other gateways until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
     let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("peers are not accepted: {error}"));
+        gateway.event_log.state(format_args!("peers are not accepted: {error}"));
     };
     loop {
         let stream = accept::next(&listener, note).await;
@@ -113,7 +113,7 @@
                 members.advance_heartbeat();
                 members.set_readiness(readiness);
                 let near = match urgent {
-                    Some(Reach::Near) => members.random_local_peer(now, &mut rand::rng()),
+                    Some(Reach::DataCentre) => members.random_local_peer(now, &mut rand::rng()),
                     Some(Reach::All) | None => None,
                 };
                 near.or_else(|| members.random_peer(now, &mut rand::rng()))
@@ -124,20 +124,20 @@
                 None => gateway.with_members(|members| members.is_listed_alone()),
             };
             if asked {
-                gateway.note_peers_asked();
+                gateway.note_peer_state_received();
             }
             let hasty = !gateway.store_answers() || readiness == Readiness::Starting;
-            urgent = gateway.take_urgent_round();
+            urgent = gateway.take_urgent_gossip_round();
             if urgent.is_some() {
                 continue;
             }
-            gateway.told.notify_waiters();
+            gateway.urgent_gossip_done.notify_waiters();
             let round_time =
                 gateway.with_members(|members| Duration::from(members.gossip_interval()));
             let pause = time::sleep(if hasty { HASTY_ROUND } else { round_time });
             tokio::select! {
                 () = pause => {}
-                () = gateway.urgent.notified() => urgent = gateway.urgent_reach(),
+                () = gateway.urgent_gossip.notified() => urgent = gateway.urgent_gossip_reach(),
             }
         }
     }
@@ -193,12 +193,12 @@
         members.remove_expired(now);
         (members.liveness_changes(now), members.count_alive(now))
     });
-    gateway.metrics.gateways_living.set(living as i64);
+    gateway.metrics.gateways_alive.set(living as i64);
     if sightings.is_empty() {
         return;
     }
     let line: Vec<String> = sightings.iter().map(LivenessChange::to_string).collect();
-    gateway.journal.state(format_args!("{living} gateways live: {}", line.join(", ")));
+    gateway.event_log.state(format_args!("{living} gateways live: {}", line.join(", ")));
 }
 
 async fn exchange<P: Platform>(
--- a/crates/direct/src/peers/news.rs
+++ b/crates/direct/src/peers/news.rs
@@ -58,9 +58,9 @@
 pub(super) fn answer<P: Platform>(gateway: &Gateway<P>, asked: &PeerNews) -> PeerNews {
     let now = gateway.now();
     // It may have waited as long as this process stood still.
-    let waited = gateway.stood_still(READ_LATE).unwrap_or(Millis::ZERO);
+    let waited = gateway.recent_suspension(READ_LATE).unwrap_or(Millis::ZERO);
     if let Some(permits) = &asked.permits_asked {
-        gateway.take_limits(&limits_told(asked, now, waited));
+        gateway.apply_limits(&limits_told(asked, now, waited));
         return permits::answer(gateway, permits);
     }
     let told = beats_of(asked, waited);
@@ -206,9 +206,10 @@
         news: lacks.collect(),
         configuration_version: gateway.serving().version,
         configuration_kept: other
-            .and_then(|other| gateway.kept_for(other.configuration_version))
+            .and_then(|other| gateway.retained_for_peer(other.configuration_version))
             .map(|update| table_news(Table::Configuration.name(), update)),
-        slow: gateway.with_findings(|findings| findings.current(now).map(slow_servers).collect()),
+        slow: gateway
+            .with_slow_server_reports(|findings| findings.current(now).map(slow_servers).collect()),
         crash_digest_number: gateway.with_crashes(|crashes| crashes.digest(now)),
         limits: limits.iter().map(|(server, said)| limit_news(*server, said, now)).collect(),
         ..empty()
@@ -308,22 +309,22 @@
         let age = Millis(told.age_ms) + waited;
         let finding =
             SlowServerReport { fencing_token: fence, number, servers: told.servers.clone(), age };
-        gateway.take_finding(&told.service, &finding);
+        gateway.apply_slow_server_report(&told.service, &finding);
     }
     let crashes: Vec<Crash> = news.crashes.iter().map(|told| crash(told, waited)).collect();
     let cleared = news.cleared.iter().map(|&[fingerprint, age_ms]| Cleared {
         fingerprint: Fingerprint(fingerprint),
         age: Millis(age_ms) + waited,
     });
-    gateway.take_crashes(&crashes, &cleared.collect::<Vec<_>>());
-    gateway.take_limits(&limits_told(news, now, waited));
+    gateway.merge_crashes(&crashes, &cleared.collect::<Vec<_>>());
+    gateway.apply_limits(&limits_told(news, now, waited));
     for table_news in &news.news {
         if let Some(table) = Table::of_name(&table_news.table) {
-            gateway.take(table, &update(table_news), "peer");
+            gateway.apply_update(table, &update(table_news), "peer");
         }
     }
     if let Some(kept) = &news.configuration_kept {
-        gateway.take_kept(&update(kept));
+        gateway.apply_retained_configuration(&update(kept));
     }
     unknown
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -24,7 +24,7 @@
 use tokio::time;
 
 use crate::gateway::Gateway;
-use crate::gateway::crashes::TRIAL;
+use crate::gateway::crashes::TRIAL_INTERVAL;
 use crate::peers;
 use crate::peers::Socket;
 use crate::peers::links::Links;
@@ -100,7 +100,7 @@
             let _ = ask(&gateway, Wanted::Nothing).await;
             time::sleep(Duration::from(DELEGATION_INTERVAL)).await;
         }
-        gateway.limits_known.notified().await;
+        gateway.limits_changed.notified().await;
     }
 }
 
@@ -122,9 +122,9 @@
     match exchanged.await {
         Ok(Ok(given)) => Some(given),
         Ok(Err(_)) | Err(_) => {
-            gateway.journal.state(format_args!("{} gave no permits, and is passed by", giver.at));
+            gateway.event_log.state(format_args!("{} gave no permits, and is passed by", giver.at));
             let until = gateway.now() + PASS_BY;
-            gateway.permit_givers.passed_by.borrow_mut().insert(giver.life, until);
+            gateway.permit_granters.passed_by.borrow_mut().insert(giver.life, until);
             None
         }
     }
@@ -133,7 +133,7 @@
 /// The first of the gateways that live, but for those that gave no answer.
 fn giver<P: Platform>(gateway: &Gateway<P>) -> Option<Giver> {
     let now = gateway.now();
-    let mut passed_by = gateway.permit_givers.passed_by.borrow_mut();
+    let mut passed_by = gateway.permit_granters.passed_by.borrow_mut();
     passed_by.retain(|_, until| *until > now);
     gateway.with_members(|members| {
         let order = members.serving_gateways(now);
@@ -150,8 +150,8 @@
 ) -> Result<Grant> {
     let asked_at = gateway.now();
     let over = async |kept| ask_over(kept, at, question).await;
-    let answer = gateway.permit_givers.links.exchange(at, over).await?;
-    gateway.take_limits(&news::limits_told(&answer, gateway.now(), gateway.now().since(asked_at)));
+    let answer = gateway.permit_granters.links.exchange(at, over).await?;
+    gateway.apply_limits(&news::limits_told(&answer, gateway.now(), gateway.now().since(asked_at)));
     let given = answer.permits_given.ok_or_else(|| eyre!("it knows no permits"))?;
     Ok(Grant { permits: given.permitted_requests, retry_in: Millis(given.again_in_ms) })
 }
@@ -172,7 +172,7 @@
 /// Answers a gateway that asks for permits.
 pub(crate) fn answer<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> PeerNews {
     // A question that waited as long as this process stood still says nothing of now.
-    let is_fresh = gateway.stood_still(READ_LATE).is_none();
+    let is_fresh = gateway.recent_suspension(READ_LATE).is_none();
     let hands_over = asked.hands_over && is_fresh;
     let given = give(gateway, &PermitsAsked { hands_over, ..asked.clone() });
     let server = asked.server_number.map(ServerIncarnation);
@@ -204,7 +204,7 @@
             permits.add_share(GatewayId(asked.gateway_number), now);
         }
         if let Some(request) = asked.trial_number {
-            return permits.grant_trial(Fingerprint(request), TRIAL, now);
+            return permits.grant_trial(Fingerprint(request), TRIAL_INTERVAL, now);
         }
         let Some((server, limit)) = limit else { return Grant::default() };
         let given = match limit {
@@ -214,7 +214,7 @@
             // It names none any more.
             None => Grant { permits: asked.wanted_requests, retry_in: Millis::ZERO },
         };
-        gateway.metrics.permits_given.inc_by(given.permits.into());
+        gateway.metrics.permits_granted.inc_by(given.permits.into());
         given
     })
 }
--- a/crates/direct/src/platform.rs
+++ b/crates/direct/src/platform.rs
@@ -88,7 +88,7 @@
     /// Name of the instance.
     pub holder: &'a str,
     /// The highest fencing token that it has or has heard of; 0 if none.
-    pub newest: u64,
+    pub newest_token: u64,
 }
 
 /// What became of a claim.
@@ -102,7 +102,7 @@
 
 /// Crashes at which one request was, as the platform keeps them for gateways that start later.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KeptCrashes {
+pub struct StoredCrashes {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The crashes, without what ran beside it.
@@ -128,7 +128,7 @@
 
 /// What an engine is asked beside requests.
 #[derive(Clone, Copy, Debug)]
-pub enum EngineAsk<'a> {
+pub enum EngineRequest<'a> {
     /// Its report.
     Report,
     /// How often each expert was chosen.
@@ -214,7 +214,7 @@
     ) -> impl Future<Output = Result<u64, Failure>>;
 
     /// Claims the lead of a service's expert maps, unless another instance did so less than `protected` ago.
-    fn claim_maps(
+    fn claim_map_leadership(
         &self,
         service: &str,
         claimant: &Claimant<'_>,
@@ -223,24 +223,24 @@
 
     /// Writes a claim again that the store may have lost, with the token that it had; not where a claim
     /// with a higher token stands.
-    fn renew_maps(
+    fn renew_map_leadership(
         &self,
         service: &str,
         claimant: &Claimant<'_>,
     ) -> impl Future<Output = Result<Claim, Failure>>;
 
     /// Reads which requests were at crashes of servers.
-    fn read_crashes(&self) -> impl Future<Output = Result<Vec<KeptCrashes>, Failure>>;
+    fn read_crashes(&self) -> impl Future<Output = Result<Vec<StoredCrashes>, Failure>>;
 
     /// Keeps some of these, and removes others.
     fn write_crashes(
         &self,
-        kept: &[KeptCrashes],
+        kept: &[StoredCrashes],
         gone: &[Fingerprint],
     ) -> impl Future<Output = Result<(), Failure>>;
 
     /// How an engine is asked.
-    fn engine_ask(&self, ask: &EngineAsk<'_>) -> (Method, Uri, Bytes);
+    fn encode_engine_request(&self, ask: &EngineRequest<'_>) -> (Method, Uri, Bytes);
 
     /// An engine's report; `None` if it belongs to no group.
     fn engine_report(&self, body: &[u8]) -> Option<EngineReport>;
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -38,7 +38,7 @@
 use crate::platform::Table;
 use crate::settings;
 use crate::sidecar;
-use crate::standing;
+use crate::stalled_groups;
 
 /// Connections that wait to be accepted: a flood of callers is not turned away by the kernel.
 const BACKLOG: u32 = 1_024;
@@ -98,7 +98,7 @@
 ///
 /// An address cannot be listened on.
 pub fn start<P: Platform>(settings: &DirectSettings, platform: P) -> Result<Started<P>> {
-    start_by(ProcessClock::default(), settings, platform)
+    start_with_clock(ProcessClock::default(), settings, platform)
 }
 
 /// The same by a clock of the caller's.
@@ -106,7 +106,7 @@
 /// # Errors
 ///
 /// As [`start`].
-pub fn start_by<P: Platform>(
+pub fn start_with_clock<P: Platform>(
     clock: ProcessClock,
     settings: &DirectSettings,
     platform: P,
@@ -147,7 +147,7 @@
     tokio::task::spawn_local(callers::serve(gateway.clone(), callers_listener));
     tokio::task::spawn_local(peers::serve(gateway.clone(), peers_listener));
     spawn_upkeep(&started);
-    gateway.journal.state(format_args!("{} started", settings.instance.name));
+    gateway.event_log.state(format_args!("{} started", settings.instance.name));
     Ok(started)
 }
 
@@ -161,7 +161,7 @@
     tokio::task::spawn_local(follow::keep_listed(gateway.clone()));
     tokio::task::spawn_local(crash_keeper::keep(gateway.clone()));
     tokio::task::spawn_local(maps::run(gateway.clone()));
-    tokio::task::spawn_local(standing::watch(gateway.clone()));
+    tokio::task::spawn_local(stalled_groups::watch(gateway.clone()));
     tokio::task::spawn_local(permits::run(gateway.clone()));
     let (peers, exchanger) = (started.peers.clone(), gateway.clone());
     tokio::task::spawn_local(async move { peers.run(exchanger).await });
@@ -197,10 +197,10 @@
         Ok(settings) => {
             gateway.set_budget(budget_config(&settings));
             peers.set_seeds(settings::addresses(&settings.platform.seeds));
-            gateway.journal.state(format_args!("settings read again"));
+            gateway.event_log.state(format_args!("settings read again"));
         }
         Err(error) => {
-            gateway.journal.state(format_args!("settings stay as they were: {error}"));
+            gateway.event_log.state(format_args!("settings stay as they were: {error}"));
         }
     }
 }
@@ -211,7 +211,7 @@
     let Started { gateway, peers, .. } = started;
     let began = gateway.now();
     gateway.begin_stop(within);
-    gateway.journal.state(format_args!("stopping, {} in flight", gateway.in_flight()));
+    gateway.event_log.state(format_args!("stopping, {} in flight", gateway.in_flight()));
     let name = gateway.with_members(|members| members.own().name.clone());
     let unlisted = gateway.platform.write_member(&name, None);
     let announced = peers.announce(gateway);
@@ -221,13 +221,13 @@
     loop {
         let now = gateway.now();
         let spent = now.since(began);
-        let quiet = gateway.in_flight() == 0 && now.since(gateway.last_request()) >= QUIET;
+        let quiet = gateway.in_flight() == 0 && now.since(gateway.last_request_at()) >= QUIET;
         if (quiet && spent >= LEAST_STOP) || spent + STOP_MARGIN >= within {
             break;
         }
         time::sleep(STOP_TICK).await;
     }
-    gateway.journal.state(format_args!("stopped, {} in flight", gateway.in_flight()));
+    gateway.event_log.state(format_args!("stopped, {} in flight", gateway.in_flight()));
 }
 
 fn modified(file: &Path) -> Option<SystemTime> {
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -110,7 +110,7 @@
                 if !passed.is_empty() {
                     let pause = relay.request.permit.as_mut().and_then(Permit::saw_event);
                     if let Some(pause) = pause {
-                        relay.gateway.metrics.pause_ms.observe(pause.0 as f64);
+                        relay.gateway.metrics.event_gap_ms.observe(pause.0 as f64);
                     }
                     return Some((Ok(Frame::data(Bytes::from(passed))), relay));
                 }
@@ -120,11 +120,11 @@
                 return Some((Ok(Frame::data(rest)), relay));
             }
             piece @ (Piece::Broken | Piece::Silent) => {
-                note_broken(&relay, &piece).await;
+                note_truncated(&relay, &piece).await;
                 if !resume(&mut relay, LeaveReason::BrokenOff).await {
-                    if relay.gateway.turns_away(relay.request.fingerprint).is_some() {
+                    if relay.gateway.crash_refusal(relay.request.fingerprint).is_some() {
                         // Its caller comes again at once, at any gateway.
-                        relay.gateway.until_told().await;
+                        relay.gateway.await_urgent_gossip().await;
                     }
                     return Some((Err(BrokenOff), relay));
                 }
@@ -143,19 +143,19 @@
     if let Some(source) = relay.source.take() {
         source.recycle(&relay.gateway);
     }
-    relay.gateway.note_well(relay.request.fingerprint);
+    relay.gateway.note_completed(relay.request.fingerprint);
     relay.gateway.metrics.answered.inc();
     Some(Bytes::from(rest)).filter(|rest| !rest.is_empty())
 }
 
 /// The source has broken off, or says nothing.
-async fn note_broken<P: Platform>(relay: &Relay<P>, piece: &Piece) {
+async fn note_truncated<P: Platform>(relay: &Relay<P>, piece: &Piece) {
     let Some(source) = &relay.source else { return };
     // Who says nothing goes on doing so: that it crashed as this began is not to be found out at once.
     let is_starting = !relay.is_running && matches!(piece, Piece::Broken);
     let progress = if is_starting { Progress::Starting } else { Progress::Running };
     let (server, progress) = (source.turn.server(), progress(source.began));
-    relay.gateway.note_broken(server, relay.request.fingerprint, progress).await;
+    relay.gateway.note_truncated(server, relay.request.fingerprint, progress).await;
 }
 
 /// The next piece of the source; `None` if the stream is over.
@@ -196,7 +196,7 @@
         pool.is_slow(server, now)
             && pool.has_alternative(&request.service, server, attempts.tried(), now)
     });
-    is_better_elsewhere && gateway.covers_repeat(&request.service)
+    is_better_elsewhere && gateway.budget_has_retry(&request.service)
 }
 
 /// Leaves the source, and returns its server; `None` if there is none.
@@ -247,8 +247,8 @@
     reason: LeaveReason,
 ) -> bool {
     let Relay { gateway, request, attempts, events, resumable, .. } = relay;
-    let may_go_on = *resumable && gateway.turns_away(request.fingerprint).is_none();
-    let covered = || may_go_on && gateway.take_repeat(&request.service);
+    let may_go_on = *resumable && gateway.crash_refusal(request.fingerprint).is_none();
+    let covered = || may_go_on && gateway.take_retry(&request.service);
     let next = attempts.after_failure(server, fate, covered);
     let step = LeaveStep {
         fingerprint_number: request.fingerprint.0,
@@ -257,6 +257,6 @@
         after_event_number: events.last_id(),
         next: next.step(),
     };
-    gateway.journal.request(request.id_text(), step);
+    gateway.event_log.request(request.id_text(), step);
     next == Next::Retry
 }
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -121,7 +121,7 @@
     };
     let engines = Rc::new(Engines::new(None, |_| None, is_closed));
     let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("the leader is not accepted: {error}"));
+        gateway.event_log.state(format_args!("the leader is not accepted: {error}"));
     };
     loop {
         let stream = accept::next(&listener, note).await;
--- a/crates/direct/src/standing.rs
+++ b/crates/direct/src/stalled_groups.rs
@@ -23,7 +23,7 @@
 /// Looks after groups until the process ends.
 pub async fn watch<P: Platform>(gateway: Rc<Gateway<P>>) {
     loop {
-        gateway.stalled.notified().await;
+        gateway.stall_detected.notified().await;
         while look(&gateway).await {
             time::sleep(LOOK_EVERY).await;
         }
@@ -48,7 +48,7 @@
         changed += usize::from(gateway.with_pool(|pool| pool.set_stalled(key, stands)));
     }
     if changed > 0 {
-        gateway.journal.state(format_args!("{standing} servers are in groups that stand still"));
+        gateway.event_log.state(format_args!("{standing} servers are in groups that stand still"));
     }
     standing > 0
 }
