--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -1,4 +1,7 @@
-//! Short questions and orders to a backend server's engine, beside the requests that it serves.
+//! Client for reports, counts and orders of a backend server's engine, beside the requests that it
+//! serves. Input: encoded requests, and the path to take. State: pooled connections, and sidecars
+//! and relays that did not answer. Decides whether a request goes through the sidecar, through
+//! another gateway or directly, and when it is given up.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -28,63 +31,68 @@
 use crate::platform::Platform;
 use crate::sidecar;
 
-/// Longest wait for an answer. Orders that get none are repeated; a server answers within a few
-/// milliseconds unless the answer is lost.
+/// Longest wait for an answer. Orders without an answer are sent again; a server answers within a
+/// few milliseconds unless the answer is lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest wait for a connection to a sidecar, before the engine is asked directly.
+/// Longest wait for a connection to a sidecar, before the engine is called directly.
 const SIDECAR_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// How an engine is reached.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Path {
-    /// Through the process beside it.
+    /// Through its sidecar.
     Sidecar,
-    /// The same, or directly where there is none: that is priced, and disturbs the group.
+    /// Through its sidecar, or directly if there is none. Direct calls are priced, and disturb the
+    /// group.
     Any,
-    /// Through another gateway. That is priced, but what happens to that gateway does not keep any
-    /// server from being reached.
+    /// Through another gateway. Such calls are priced, but a failure of that gateway makes no
+    /// server unreachable.
     Through(IpAddr),
 }
 
-/// A question as it is put to engines, made once however many are asked.
+/// A request to an engine, encoded once for any number of engines.
 #[derive(Clone, Debug)]
 pub struct EncodedRequest {
     method: Method,
     uri: Uri,
     body: Bytes,
-    /// The body as sidecars get it, where that is smaller.
+    /// The compressed body for sidecars and relays, if the body is large enough.
     packed: Option<Bytes>,
-    /// For counts, to sidecars alone: the reading since which they are told.
+    /// For counts, and for sidecars only: the number of the known snapshot, to which the reply
+    /// gives the delta.
     since: Option<u64>,
 }
 
 impl EncodedRequest {
-    /// Spells a question as the platform has it.
-    pub fn new<P: Platform>(gateway: &Gateway<P>, asked: &EngineRequest<'_>) -> EncodedRequest {
-        let (method, uri, body) = gateway.platform.encode_engine_request(asked);
+    /// Encodes a request in the format of the platform.
+    pub fn new<P: Platform>(
+        gateway: &Gateway<P>,
+        engine_request: &EngineRequest<'_>,
+    ) -> EncodedRequest {
+        let (method, uri, body) = gateway.platform.encode_engine_request(engine_request);
         let packed = (body.len() >= packing::PACKED_FROM).then(|| packing::pack(&body));
         EncodedRequest { method, uri, body, packed, since: None }
     }
 
-    /// For counts: the sidecar tells only what came since the reading with this number.
+    /// For counts: requests only the delta since the snapshot with this number.
     fn since(self, known: u64) -> EncodedRequest {
         EncodedRequest { since: Some(known), ..self }
     }
 }
 
-/// Asks an engine, and returns its status and answer; `None` if there was none in time. A sidecar or
-/// a relaying gateway that gave no answer is passed by for a while: its process may be frozen, and its
-/// machine still take connections.
-async fn ask<P: Platform>(
+/// Calls an engine, and returns the status and body of its answer; `None` if there was none in
+/// time. A sidecar or a relay that did not answer is skipped for a while: its process may be frozen
+/// while its machine still accepts connections.
+async fn call<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    question: &EncodedRequest,
+    encoded: &EncodedRequest,
     path: Path,
 ) -> Option<(StatusCode, Bytes)> {
     let through_sidecar = gateway.uses_sidecar(server);
-    let answer = time::timeout(ANSWER_TIMEOUT, exchange(gateway, server, question, path)).await;
-    // Too late is no answer.
+    let answer = time::timeout(ANSWER_TIMEOUT, exchange(gateway, server, encoded, path)).await;
+    // A late answer counts as none.
     let answer = answer.unwrap_or_default();
     match path {
         Path::Through(relay) if answer.is_none() => gateway.mark_relay_unanswered(relay),
@@ -93,24 +101,24 @@
         }
         _ => {}
     }
-    // A sidecar says so where the engine gave no answer.
+    // A sidecar answers with this status if the engine did not answer.
     answer.filter(|(status, _)| *status != StatusCode::BAD_GATEWAY)
 }
 
-/// The same, where only an answer that says success is of use.
-async fn ask_body<P: Platform>(
+/// Calls an engine, and returns the body of a successful answer.
+async fn call_body<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    question: &EncodedRequest,
+    encoded: &EncodedRequest,
     path: Path,
 ) -> Option<Bytes> {
-    let (status, body) = ask(gateway, server, question, path).await?;
+    let (status, body) = call(gateway, server, encoded, path).await?;
     status.is_success().then_some(body)
 }
 
-/// Who is at the other end of a connection.
+/// The process at the remote end of a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum End {
+enum RemoteEnd {
     Engine,
     Sidecar,
     Relay,
@@ -119,86 +127,87 @@
 async fn exchange<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
-    question: &EncodedRequest,
+    encoded: &EncodedRequest,
     path: Path,
 ) -> Option<(StatusCode, Bytes)> {
     let is_limited = gateway.with_pool(|pool| pool.limit(server).is_some());
     let path = match path {
-        // Its own machine is none of those that the limit is for.
+        // The limit does not apply to the engine's own machine, on which the sidecar runs.
         Path::Through(_) if is_limited => Path::Any,
         path => path,
     };
     let (mut connection, end) = connect(gateway, server, path).await?;
-    let request = request(gateway, server, question, end)?;
+    let request = request(gateway, server, encoded, end)?;
     let sent_at = gateway.now();
     let answer = connection.sender().send_request(request).await.ok()?;
     let (head, body) = answer.into_parts();
     connection.note_answer(&head.headers);
     match end {
-        End::Engine => {
+        RemoteEnd::Engine => {
             gateway.note_server_notices(server, &head);
             gateway.note_limit(server, &head, sent_at, head.status.is_success());
         }
-        // A rest is asked of the one whose connection it came on, and not all that the engine says comes through.
-        End::Sidecar | End::Relay => {
+        // A back-off applies to the sender on whose connection it was requested, and not all
+        // headers of the engine pass a sidecar or relay.
+        RemoteEnd::Sidecar | RemoteEnd::Relay => {
             gateway.note_leaving(server, &head);
             gateway.note_limit(server, &head, sent_at, false);
         }
     }
     let body = body.collect().await.ok()?.to_bytes();
     match end {
-        End::Engine => gateway.connections.keep(connection),
-        End::Sidecar => gateway.sidecars.keep(connection),
-        // One order a switch, and each through another gateway.
-        End::Relay => drop(connection),
+        RemoteEnd::Engine => gateway.connections.keep(connection),
+        RemoteEnd::Sidecar => gateway.sidecars.keep(connection),
+        // Not pooled: a switch of maps relays one order, each time through another gateway.
+        RemoteEnd::Relay => drop(connection),
     }
     Some((head.status, body))
 }
 
-/// The request that asks a server's engine; `None` if the platform names a header or URI that HTTP
+/// The HTTP request to a server's engine; `None` if the platform names a header or URI that HTTP
 /// does not allow.
 fn request<P: Platform>(
     gateway: &Gateway<P>,
     server: Key<Server>,
-    question: &EncodedRequest,
-    end: End,
+    encoded: &EncodedRequest,
+    end: RemoteEnd,
 ) -> Option<Request<Full<Bytes>>> {
     let listed = gateway.with_pool(|pool| pool.server(server).listed.clone());
     let mut request = Request::builder()
-        .method(&question.method)
-        .uri(&question.uri)
+        .method(&encoded.method)
+        .uri(&encoded.uri)
         .header(header::HOST, listed.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .header(&gateway.platform.headers().expect_server, listed.id);
-    let mut body = &question.body;
-    if end != End::Engine {
-        if let Some(known) = question.since {
+    let mut body = &encoded.body;
+    if end != RemoteEnd::Engine {
+        if let Some(known) = encoded.since {
             request = request.header(sidecar::SINCE_HEADER, known);
         }
-        if let Some(packed) = &question.packed {
+        if let Some(packed) = &encoded.packed {
             body = packed;
             request = request.header(header::CONTENT_ENCODING, packing::ENCODING);
         }
     }
-    if end == End::Relay {
+    if end == RemoteEnd::Relay {
         request = request.header(sidecar::ENGINE_HEADER, listed.address.to_string());
     }
     request.body(Full::new(body.clone())).ok()
 }
 
-/// A connection on which the engine is reached, and who is at its other end.
+/// A connection over which the engine is reached, and the process at its remote end.
 async fn connect<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
     path: Path,
-) -> Option<(Connection, End)> {
+) -> Option<(Connection, RemoteEnd)> {
     if let Path::Through(relay) = path {
         let at = SocketAddr::new(relay, gateway.sidecars_port);
         let opened = Connection::open_within(server, at, SIDECAR_TIMEOUT).await;
-        return Some((opened.ok()?, End::Relay));
+        return Some((opened.ok()?, RemoteEnd::Relay));
     }
     if let Some(connection) = connect_sidecar(gateway, server).await {
-        return Some((connection, End::Sidecar));
+        return Some((connection, RemoteEnd::Sidecar));
     }
     if path != Path::Any {
         return None;
@@ -212,13 +221,13 @@
         gateway.permit(server).await?;
     }
     if let Some(connection) = gateway.connections.idle(server) {
-        return Some((connection, End::Engine));
+        return Some((connection, RemoteEnd::Engine));
     }
     gateway.metrics.connections_opened.inc();
-    Some((Connection::open(server, address).await.ok()?, End::Engine))
+    Some((Connection::open(server, address).await.ok()?, RemoteEnd::Engine))
 }
 
-/// A connection to the process beside a server, unless there is none or it is passed by.
+/// A connection to the sidecar of a server, unless there is none or it is skipped.
 async fn connect_sidecar<P: Platform>(
     gateway: &Gateway<P>,
     server: Key<Server>,
@@ -230,18 +239,18 @@
         return Some(connection);
     }
     let ip = gateway.with_pool(|pool| pool.server(server).listed.address.ip());
-    let beside = SocketAddr::new(ip, gateway.sidecars_port);
-    Connection::open_within(server, beside, SIDECAR_TIMEOUT).await.ok()
+    let sidecar_at = SocketAddr::new(ip, gateway.sidecars_port);
+    Connection::open_within(server, sidecar_at, SIDECAR_TIMEOUT).await.ok()
 }
 
-/// An engine's report, if it gives one.
+/// The report of an engine, if it sends one.
 pub async fn report<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
     path: Path,
 ) -> Option<EngineReport> {
-    let question = EncodedRequest::new(gateway, &EngineRequest::Report);
-    let body = ask_body(gateway, server, &question, path).await?;
+    let encoded = EncodedRequest::new(gateway, &EngineRequest::Report);
+    let body = call_body(gateway, server, &encoded, path).await?;
     gateway.platform.engine_report(&body)
 }
 
@@ -251,20 +260,19 @@
     server: Key<Server>,
     path: Path,
 ) -> Option<Counts> {
-    let question = EncodedRequest::new(gateway, &EngineRequest::Counts);
-    let body = ask_body(gateway, server, &question, path).await?;
+    let encoded = EncodedRequest::new(gateway, &EngineRequest::Counts);
+    let body = call_body(gateway, server, &encoded, path).await?;
     gateway.platform.engine_counts(&body)
 }
 
-/// The same through the process beside the engine, which tells what came since the reading that is
-/// known.
+/// The same counts through the engine's sidecar, as the delta since the known snapshot.
 pub async fn counts_since<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
     known: u64,
 ) -> Option<CountsNews> {
-    let question = EncodedRequest::new(gateway, &EngineRequest::Counts).since(known);
-    let body = ask_body(gateway, server, &question, Path::Sidecar).await?;
+    let encoded = EncodedRequest::new(gateway, &EngineRequest::Counts).since(known);
+    let body = call_body(gateway, server, &encoded, Path::Sidecar).await?;
     let body = packing::unpack(&body, sidecar::MOST_BYTES).ok()?;
     ciborium::from_reader(body.as_ref()).ok()
 }
@@ -274,19 +282,19 @@
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
 ) -> Option<(u64, Vec<Vec<u16>>)> {
-    let question = EncodedRequest::new(gateway, &EngineRequest::Experts);
-    let body = ask_body(gateway, server, &question, Path::Any).await?;
+    let encoded = EncodedRequest::new(gateway, &EngineRequest::Experts);
+    let body = call_body(gateway, server, &encoded, Path::Any).await?;
     gateway.platform.engine_experts(&body)
 }
 
-/// Gives an order. An answer that names another server shows that this one has lost its address.
+/// Sends an order. An answer that names another server shows that this one has lost its address.
 pub async fn order<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     server: Key<Server>,
     order: &EncodedRequest,
     path: Path,
 ) -> Reply {
-    match ask(gateway, server, order, path).await {
+    match call(gateway, server, order, path).await {
         Some((status, _)) if gateway.platform.is_other_server(status.as_u16()) => {
             gateway.with_pool(|pool| pool.mark_replaced(server));
             Reply::NoAnswer
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -1,6 +1,8 @@
-//! What all tasks of one gateway share.
+//! State that all tasks of one gateway share. Input: what its tasks receive from callers, backend
+//! servers, peers and the platform. State: pool, members, tables, budgets, permits. Decides whether
+//! this gateway is ready, which requests it accepts, and whether a retry is allowed.
 //!
-//! One thread runs them all, so cells suffice: nothing is borrowed across an await.
+//! One thread runs all tasks, so cells are sufficient: nothing is borrowed across an await.
 
 mod by_service;
 mod configurations;
@@ -62,108 +64,108 @@
 use crate::platform::Platform;
 use crate::platform::Table;
 
-/// How long a sidecar that gave no answer is passed by. Freezes at the users last some seconds, and
-/// asking directly has a price.
-const PASS_BY: Millis = Millis(1_000);
+/// How long a sidecar that did not answer is skipped. Machines freeze for some seconds, and a
+/// direct call to an engine has a price.
+const SIDECAR_SKIPPED_FOR: Millis = Millis(1_000);
 
-/// Part of a planned stop in which streams are still taken, as a fraction: 3 of the users' 8 s, so
-/// that 4.5 s are left for streams of 1 to 2 s.
-const STREAM_PART: (u64, u64) = (3, 8);
+/// Fraction of a planned stop in which streams are still accepted, as numerator and denominator: 3
+/// of 8 s, so that 4.5 s are left for streams of 1 to 2 s.
+const STREAM_FRACTION: (u64, u64) = (3, 8);
 
-/// The same for all other requests: 6 of the users' 8 s. They take some tenths of a second, and the
+/// The same fraction for all other requests: 6 of 8 s. They take some tenths of a second, and the
 /// process ends half a second before it has to.
-const REQUEST_PART: (u64, u64) = (6, 8);
+const REQUEST_FRACTION: (u64, u64) = (6, 8);
 
-/// Time after a standstill in which all gateways that live have been heard of again: as long as a heartbeat is
-/// waited for.
-const HEAR_AGAIN: Millis = Millis(3_000);
+/// Time after a suspension within which heartbeats of all gateways that are alive have arrived
+/// again: the time after which a gateway without a heartbeat is suspected.
+const MEMBERSHIP_RECOVERY: Millis = Millis(3_000);
 
-/// Time from its start in which a process waits for another gateway to tell what it knows.
-const ASK_FIRST: Millis = Millis(1_000);
+/// Time from the start of the process in which it waits for the state of another gateway.
+const PEER_STATE_TIMEOUT: Millis = Millis(1_000);
 
-/// Where a process stands in its life.
+/// Phase of a gateway process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// It takes requests.
+    /// It accepts requests.
     Running,
-    /// It was told to stop, and finishes what it has.
+    /// It was asked to stop, and finishes the requests in flight.
     Stopping,
 }
 
-/// One gateway.
+/// State of one gateway.
 pub struct Gateway<P> {
-    /// The platform that it runs on.
+    /// The platform that the gateway runs on.
     pub platform: P,
-    /// Time.
+    /// Clock of the process.
     pub clock: ProcessClock,
     suspension: Cell<SuspensionDetector>,
-    /// Log lines.
+    /// Writer of log lines.
     pub event_log: EventLog,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Connections to backend servers.
     pub connections: Connections,
-    /// Connections to the processes beside them.
+    /// Connections to the sidecars of backend servers.
     pub sidecars: Connections,
-    /// Port on which those listen; 0 if there are none.
+    /// Port on which sidecars listen; 0 if there are none.
     pub sidecars_port: u16,
-    /// Wakes whoever looks after groups that stand still.
+    /// Wakes the task that polls stalled groups.
     pub stall_detected: Notify,
-    /// Wakes whoever exchanges news with other gateways: there is some that cannot wait.
+    /// Wakes the gossip task: an update is urgent.
     pub urgent_gossip: Notify,
-    /// Told when the rounds of news that could not wait were made.
+    /// Notified when the urgent gossip rounds are done.
     pub urgent_gossip_done: Notify,
-    /// Rounds of news that are still to be made at once.
+    /// Number of urgent gossip rounds that are left, and their reach.
     urgent_rounds: Cell<Option<(u32, Reach)>>,
     slow_server_reports: RefCell<SlowServerReports>,
     crashes: RefCell<Crashes>,
     crash_detection: RefCell<CrashDetection>,
-    /// Wakes whoever keeps crashes on the platform: something has changed.
+    /// Wakes the task that stores crashes on the platform: something has changed.
     pub crashes_changed: Notify,
     permits: RefCell<Permits>,
-    /// The gateways that give out permits.
+    /// The gateways that grant permits.
     pub permit_granters: Givers,
-    /// Told when an answer about permits has come.
+    /// Notified when a reply to a request for permits was recorded.
     pub permit_reply_received: Notify,
-    /// Wakes whoever hands the own part over: a server has named a limit.
+    /// Wakes the task that delegates this gateway's share: a limit was advertised or has changed.
     pub limits_changed: Notify,
     serving: RefCell<Rc<ServingConfig>>,
-    /// The table that the configuration in force came from, where the store has an older copy of it.
+    /// Table of the configuration in force, if the store has an older copy of it.
     retained_configuration: RefCell<Option<Replica>>,
-    /// Whether another gateway has told what it knows, as far as there are any.
+    /// Whether the state of another gateway was received, or there is no other gateway.
     peer_state_received: Cell<bool>,
     pool: RefCell<Pool>,
     members: RefCell<Members>,
     replicas: RefCell<BTreeMap<Table, Replica>>,
-    /// Rows of the list of servers that the store has lost.
+    /// Rows of the server list that the store has lost.
     unconfirmed: RefCell<Unconfirmed>,
-    /// Wakes whoever waits for such rows to be written again.
+    /// Wakes the task that waits for such rows to be written again.
     pub rows_lost: Notify,
-    /// The store's era, as far as it was told; `None` before.
+    /// Latest era of the store that is known; `None` before the first.
     eras: watch::Sender<Option<u64>>,
-    /// When another era was told last.
+    /// When the era changed last.
     era_began_at: Cell<Option<Millis>>,
     budgets: ByService<RetryBudget>,
     outages: ByService<Outages>,
     entrances: ByService<Rc<Entrance>>,
     heads: ByService<Heads>,
     budget: Cell<budget::Config>,
-    /// Sidecars that gave no answer, and until when they are not asked.
+    /// Sidecars that did not answer, and until when each is skipped.
     unanswered_sidecars: RefCell<HashMap<Key<Server>, Millis>>,
     relays: RefCell<Relays>,
-    /// Rows of the list of servers that name none, as far as they were logged.
+    /// Invalid rows of the server list that were logged.
     ignored_rows_logged: RefCell<BTreeSet<String>>,
     phase: Cell<Phase>,
     in_flight: Cell<usize>,
     last_request_at: Cell<Millis>,
-    /// When streams are taken no more, while the process stops.
+    /// Until when streams are accepted while the process stops.
     streams_accepted_until: Cell<Millis>,
-    /// When nothing is taken any more, while the process stops.
+    /// Until when other requests are accepted while the process stops.
     requests_accepted_until: Cell<Millis>,
 }
 
 impl<P: Platform> Gateway<P> {
-    /// A gateway that knows nothing yet.
+    /// A gateway without any tables or peers.
     pub fn new(
         platform: P,
         own: Member,
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The present moment.
+    /// The current time; also detects suspensions of the process.
     pub fn now(&self) -> Millis {
         let now = self.clock.now();
         let mut suspension = self.suspension.get();
@@ -230,17 +232,17 @@
         now
     }
 
-    /// How long this process stood still, if that ended less than `within` ago.
+    /// Length of the last suspension of this process, if it ended less than `within` ago.
     pub fn recent_suspension(&self, within: Millis) -> Option<Millis> {
         let now = self.now();
         self.suspension.get().ended_within(within, now)
     }
 
-    /// How many gateways share what is bounded for all of them. After a standstill nobody has been heard of
-    /// lately; then all that are known do.
+    /// Number of gateways that share a bound. After a suspension no recent heartbeat is known, so
+    /// all known gateways count.
     fn count_sharing(&self, now: Millis) -> usize {
         let members = self.members.borrow();
-        if self.suspension.get().ended_within(HEAR_AGAIN, now).is_some() {
+        if self.suspension.get().ended_within(MEMBERSHIP_RECOVERY, now).is_some() {
             return members.known().count();
         }
         members.count_alive(now)
@@ -251,18 +253,19 @@
         self.serving.borrow().clone()
     }
 
-    /// Does something with the backend servers.
+    /// Calls `act` with the pool of backend servers.
     pub fn with_pool<T>(&self, act: impl FnOnce(&mut Pool) -> T) -> T {
         act(&mut self.pool.borrow_mut())
     }
 
-    /// Does something with the gateways that are known.
+    /// Calls `act` with the membership table.
     pub fn with_members<T>(&self, act: impl FnOnce(&mut Members) -> T) -> T {
         act(&mut self.members.borrow_mut())
     }
 
-    /// Whether this gateway takes requests: it has a configuration and servers, has asked which requests crash
-    /// them and what others know, and does not stop.
+    /// Readiness of this gateway. It is ready once it has a configuration and a server list, has
+    /// tried to read the stored crashes, and has received the state of a peer or waited for it;
+    /// while it stops it is leaving.
     pub fn readiness(&self) -> Readiness {
         if self.phase.get() == Phase::Stopping {
             Readiness::Leaving
@@ -275,29 +278,32 @@
 
     fn knows_enough(&self) -> bool {
         let has_tables = self.serving.borrow().version > 0 && self.knows(Table::Servers);
-        let peer_state_received = self.peer_state_received.get() || self.now() >= ASK_FIRST;
-        has_tables && self.crash_detection.borrow().is_read && peer_state_received
+        let peer_state_received =
+            self.peer_state_received.get() || self.now() >= PEER_STATE_TIMEOUT;
+        has_tables && self.crash_detection.borrow().stored_crashes_read && peer_state_received
     }
 
-    /// Another gateway has told what it knows, or there is none.
+    /// Records that the state of another gateway was received, or that there is no other gateway.
     pub fn note_peer_state_received(&self) {
         self.peer_state_received.set(true);
     }
 
-    /// Where the process stands in its life.
+    /// Phase of the process.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// The process was told to stop within a time.
+    /// Records that the process is to stop within a time.
     pub fn begin_stop(&self, within: Millis) {
         self.phase.set(Phase::Stopping);
-        let after = |(part, of): (u64, u64)| self.now() + Millis(within.0 * part / of);
-        self.streams_accepted_until.set(after(STREAM_PART));
-        self.requests_accepted_until.set(after(REQUEST_PART));
+        let after = |(numerator, denominator): (u64, u64)| {
+            self.now() + Millis(within.0 * numerator / denominator)
+        };
+        self.streams_accepted_until.set(after(STREAM_FRACTION));
+        self.requests_accepted_until.set(after(REQUEST_FRACTION));
     }
 
-    /// Whether a request that comes now can be expected to end before the process does.
+    /// Whether a request that arrives now can be expected to end before the process does.
     pub fn accepts(&self, kind: RouteKind) -> bool {
         let last = match kind {
             RouteKind::Stream => &self.streams_accepted_until,
@@ -306,63 +312,65 @@
         self.now() < last.get()
     }
 
-    /// Requests that have no whole answer yet.
+    /// Number of requests without a complete answer.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// When the last request came.
+    /// When the last request arrived.
     pub fn last_request_at(&self) -> Millis {
         self.last_request_at.get()
     }
 
-    /// A request came; it is in flight as long as what is returned lives.
+    /// Counts a request as in flight until the returned value is dropped.
     pub fn begin_request(self: &Rc<Self>) -> InFlight<P> {
         self.in_flight.set(self.in_flight.get() + 1);
         self.last_request_at.set(self.now());
         InFlight { gateway: self.clone() }
     }
 
-    /// Whether a server's engine is asked through the process beside it.
+    /// Whether the engine of a server is reached through its sidecar.
     pub fn uses_sidecar(&self, server: Key<Server>) -> bool {
         let until = self.unanswered_sidecars.borrow().get(&server).copied().unwrap_or_default();
         self.sidecars_port > 0 && until <= self.now()
     }
 
-    /// The process beside a server gave no answer: the engine is asked directly for a while.
+    /// Records that the sidecar of a server did not answer: the engine is called directly for a
+    /// while.
     pub fn mark_sidecar_unanswered(&self, server: Key<Server>) {
-        self.unanswered_sidecars.borrow_mut().insert(server, self.now() + PASS_BY);
+        self.unanswered_sidecars.borrow_mut().insert(server, self.now() + SIDECAR_SKIPPED_FOR);
     }
 
-    /// The gateway through which an order goes that no machine of its group should give.
+    /// The gateway that relays an order which no machine of its group is to send.
     pub fn next_relay(&self) -> Option<IpAddr> {
         if self.sidecars_port == 0 {
             return None;
         }
         let now = self.now();
-        let living = self.with_members(|members| members.ready_instances(now));
-        self.relays.borrow_mut().next(&living, now)
+        let alive = self.with_members(|members| members.ready_instances(now));
+        self.relays.borrow_mut().next(&alive, now)
     }
 
-    /// A gateway relayed nothing: it is passed by for a while.
+    /// Records that a gateway did not relay an order: it is skipped for a while.
     pub fn mark_relay_unanswered(&self, relay: IpAddr) {
-        self.event_log.state(format_args!("{relay} relayed no order, and is passed by"));
+        self.event_log
+            .state(format_args!("gateway at {relay} did not relay an order: skipped for a while"));
         self.relays.borrow_mut().mark_unanswered(relay, self.now());
     }
 
-    /// Whether the store answered when it was asked last.
+    /// Whether the store answered the last call.
     pub fn store_answers(&self) -> bool {
         self.with_members(|members| members.own().store_answers)
     }
 
-    /// Notes whether the store answers, and logs a change.
+    /// Records whether the store answers, and logs a change.
     pub fn note_store(&self, answers: bool, reason: &dyn std::fmt::Display) {
         if self.store_answers() == answers {
             return;
         }
         self.with_members(|members| members.set_store_answers(answers));
         if answers {
-            self.event_log.state(format_args!("store regained"));
+            self.event_log.state(format_args!("store reachable again"));
         } else {
             self.event_log.state(format_args!("store lost: {reason}"));
         }
@@ -374,7 +382,7 @@
         self.with_budget(service, |budget| budget.record_request(now));
     }
 
-    /// Takes one repeat at a service from this gateway's part of the budget.
+    /// Takes one retry at a service from this gateway's share of the budget.
     pub fn take_retry(&self, service: &str) -> bool {
         let now = self.now();
         let gateways = self.count_sharing(now);
@@ -385,45 +393,45 @@
         covered
     }
 
-    /// Whether this gateway's part of the budget has a repeat at a service left.
+    /// Whether this gateway's share of the budget has a retry at a service left.
     pub fn budget_has_retry(&self, service: &str) -> bool {
         let now = self.now();
         let gateways = self.count_sharing(now);
         self.with_budget(service, |budget| budget.has_retry(now, gateways))
     }
 
-    /// No server of a service could take a request.
+    /// Records that no server of a service could accept a request.
     pub fn note_outage_began(&self, service: &str) {
         let now = self.now();
         self.with_outages(service, |outages| outages.began(now));
     }
 
-    /// A server of a service has taken a request.
+    /// Records that a server of a service accepted a request.
     pub fn note_outage_ended(&self, service: &str) {
         let now = self.now();
         self.with_outages(service, |outages| outages.ended(now));
     }
 
-    /// When a caller that is refused now shall come back, if no server of the service takes requests.
+    /// When a caller that is refused now is to retry, if no server of the service accepts requests.
     pub fn outage_retry_after(&self, service: &str) -> Option<Millis> {
         if let Some(after) = self.all_unavailable_for(service) {
             return Some(after);
         }
-        let (now, part) = (self.now(), rand::rng().random());
-        self.with_outages(service, |outages| outages.retry_after(now, part))
+        let (now, fraction) = (self.now(), rand::rng().random());
+        self.with_outages(service, |outages| outages.retry_after(now, fraction))
     }
 
-    /// Where streams of a service begin.
+    /// Admission of streams of a service.
     pub fn entrance(&self, service: &str) -> Rc<Entrance> {
         self.entrances.with(service, || Entrance::new(self.clock), |entrance| entrance.clone())
     }
 
-    /// Does something with the answers of a service, as they began.
+    /// Calls `act` with the recent beginnings of answers of a service.
     pub fn with_heads<T>(&self, service: &str, act: impl FnOnce(&mut Heads) -> T) -> T {
         self.heads.with(service, || Heads::new(overtaken::Config::default()), act)
     }
 
-    /// Bounds from changed settings, for all services.
+    /// Applies changed settings of the retry budget to all services.
     pub fn set_budget(&self, config: budget::Config) {
         self.budget.set(config);
         self.budgets.for_each(|budget| budget.set_config(config));
@@ -438,7 +446,7 @@
     }
 }
 
-/// A request without a whole answer.
+/// A request without a complete answer.
 pub struct InFlight<P: Platform> {
     gateway: Rc<Gateway<P>>,
 }
--- a/crates/direct/src/gateway/by_service.rs
+++ b/crates/direct/src/gateway/by_service.rs
@@ -1,4 +1,5 @@
-//! A value for each service, made when it is first asked for.
+//! Map from services to values, each made on first use. Input: the name of a service. State: the
+//! values. Decides whether a service needs a new value.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,7 +16,7 @@
 }
 
 impl<T> ByService<T> {
-    /// Does something with the value of a service, which is made if there is none.
+    /// Calls `act` with the value of a service, which is made if there is none.
     pub(super) fn with<R>(
         &self,
         service: &str,
@@ -30,7 +31,7 @@
         act(values.entry(service.to_owned()).or_insert_with(make))
     }
 
-    /// Does something with all values.
+    /// Calls `act` with each value.
     pub(super) fn for_each(&self, act: impl FnMut(&mut T)) {
         self.values.borrow_mut().values_mut().for_each(act);
     }
--- a/crates/direct/src/gateway/configurations.rs
+++ b/crates/direct/src/gateway/configurations.rs
@@ -1,8 +1,11 @@
-//! The configuration in force.
+//! The configuration in force. Input: the configuration table, and configurations that peers
+//! retained. State: the configuration in force and, if the store has an older one, its table.
+//! Decides whether a configuration replaces the one in force.
 //!
-//! A store that came back from an older copy may hold an older configuration than the one in force, until the
-//! operator writes again. The newer one was acknowledged, so it stays, and is told to gateways that start
-//! meanwhile: configurations are ordered by their own versions, which operators never give out again.
+//! A store that was restored from an older copy may hold an older configuration than the one in
+//! force, until the operator writes again. The newer one was acknowledged, so it stays in force and
+//! is sent to gateways that start meanwhile. Configurations are ordered by their own versions,
+//! which operators never reuse.
 
 use std::rc::Rc;
 
@@ -17,7 +20,7 @@
 use crate::platform::Table;
 
 impl<P: Platform> Gateway<P> {
-    /// Brings the configuration of the table into force, unless a newer one is.
+    /// Puts the configuration of the table in force, unless a newer one is in force.
     pub(super) fn configure(&self, source: &str) {
         let decoded = match self.replicas.borrow().get(&Table::Configuration) {
             Some(replica) => self.platform.serving(replica),
@@ -27,7 +30,7 @@
         match decoded {
             Ok(Some(serving)) if serving.version >= in_force => {
                 self.retained_configuration.replace(None);
-                self.bring_into_force(serving, source);
+                self.put_in_force(serving, source);
             }
             Ok(_) => {}
             Err(error) => {
@@ -37,30 +40,31 @@
         }
     }
 
-    fn bring_into_force(&self, serving: ServingConfig, source: &str) {
+    fn put_in_force(&self, serving: ServingConfig, source: &str) {
         let version = serving.version;
         self.serving.replace(Rc::new(serving));
         self.event_log.state(format_args!("configuration {version} in force, from {source}"));
     }
 
-    /// Keeps the table of the configuration, as it is about to be replaced by an older copy.
+    /// Retains the table of the configuration, which is about to be replaced by an older copy.
     pub(super) fn retain_configuration(&self) {
         let replica = self.replicas.borrow().get(&Table::Configuration).cloned();
-        let mut kept = self.retained_configuration.borrow_mut();
-        if kept.is_none() {
-            *kept = replica.filter(|replica| replica.revision() > Revision::default());
+        let mut retained = self.retained_configuration.borrow_mut();
+        if retained.is_none() {
+            *retained = replica.filter(|replica| replica.revision() > Revision::default());
         }
     }
 
-    /// The configuration in force, for another gateway in which an older one is: where the store holds it,
-    /// the other hears of it with the table.
+    /// The retained configuration, for a gateway with the older configuration `version`. If the
+    /// store holds the configuration in force, nothing is retained: the other gateway receives the
+    /// table.
     pub fn retained_for_peer(&self, version: u64) -> Option<Update> {
         let is_behind = version < self.serving.borrow().version;
-        let kept = self.retained_configuration.borrow();
-        kept.as_ref().filter(|_| is_behind)?.since(Revision::default())
+        let retained = self.retained_configuration.borrow();
+        retained.as_ref().filter(|_| is_behind)?.since(Revision::default())
     }
 
-    /// Takes a configuration that another gateway kept.
+    /// Applies a configuration that another gateway retained.
     pub fn apply_retained_configuration(&self, update: &Update) {
         let mut replica = Replica::default();
         replica.apply(update);
@@ -68,7 +72,7 @@
         let Ok(Some(serving)) = decoded else { return };
         if serving.version > self.serving.borrow().version {
             self.retained_configuration.replace(Some(replica));
-            self.bring_into_force(serving, "peer");
+            self.put_in_force(serving, "peer");
             self.request_urgent_gossip(Reach::DataCentre);
         }
     }
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -1,8 +1,11 @@
-//! Servers that crash, and which requests were there: found out, told to all, and acted on.
+//! Detection of servers that crash, and of the requests that were running there. Input: truncated
+//! answers, refused connections, the server list and crash reports of peers. State: truncated
+//! answers by server, trials, and all known crashes. Decides which servers have crashed, and which
+//! requests are refused, held back or sent one at a time.
 //!
-//! An answer that breaks off may have been spoilt on its way, and one that stays away may come later. So a
-//! server counts as crashed only if it refuses a connection just then, or the platform ceases to list it soon after,
-//! though it was not leaving.
+//! A truncated answer may have been damaged by the network, and a missing one may arrive later. So
+//! a server counts as crashed only if it refuses a connection right afterwards, or if the platform
+//! stops listing it soon after although it was not leaving.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -36,21 +39,21 @@
 use crate::platform::Platform;
 use crate::platform::StoredCrashes;
 
-/// Longest wait until others were told: some rounds of news, of a few milliseconds each.
-const MOST_TELLING: Duration = Duration::from_millis(50);
+/// Longest wait until urgent gossip was sent: a few gossip rounds of some milliseconds each.
+const URGENT_GOSSIP_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// When a caller shall come back whose request is out for another one, and time between two trials at different
-/// gateways: the users' streams last 1 to 2 s.
+/// When a caller is to retry whose request is on trial for another caller, and the interval between
+/// two trials at different gateways: streams last 1 to 2 s.
 pub(crate) const TRIAL_INTERVAL: Millis = Millis(1_500);
 
-/// How far a request came at a server, and when.
+/// How far a request got at a server, and when.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress {
     /// It was sent, and no answer began.
     Sent(Millis),
-    /// An answer began, and nothing more came.
+    /// An answer began, and nothing followed.
     Starting(Millis),
-    /// More of an answer came.
+    /// An answer began, and more of it followed.
     Running(Millis),
 }
 
@@ -67,23 +70,24 @@
 
 /// Whether a server has crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Finding {
-    /// A connection was taken, or neither taken nor refused.
-    Open,
-    /// It was refused.
-    Crashed,
+enum CrashStatus {
+    /// A connection was accepted, or neither accepted nor refused.
+    Unconfirmed,
+    /// A connection was refused, or the platform stopped listing the server.
+    Confirmed,
 }
 
-/// A server at which answers broke off.
+/// Truncated answers of one server.
 #[derive(Debug)]
-struct Broken {
+struct ServerTruncations {
     answers: TruncatedAnswers,
-    finding: Finding,
-    /// Whether it is being found out.
-    is_asked: bool,
+    status: CrashStatus,
+    /// Whether a probe of the server is running.
+    is_probing: bool,
 }
 
-/// A request that is tried again after a server crashed as it began there, until this is dropped.
+/// A trial: a request that is sent one at a time, because a server crashed as it began there. The
+/// trial ends when this value is dropped.
 pub struct Trial<P: Platform> {
     gateway: Rc<Gateway<P>>,
     fingerprint: Fingerprint,
@@ -95,23 +99,23 @@
     }
 }
 
-/// What this gateway has found out itself; what all know is in [`Crashes`].
+/// Crash detection of this gateway; what all gateways know is in [`Crashes`].
 #[derive(Default)]
 pub(super) struct CrashDetection {
-    broken: HashMap<Key<Server>, Broken>,
-    /// Requests that were at a crash here: this gateway has them kept on the platform.
+    truncations: HashMap<Key<Server>, ServerTruncations>,
+    /// Requests that were at a crash which this gateway detected: it stores them on the platform.
     own: BTreeSet<Fingerprint>,
-    /// Requests that are tried one at a time, and are out.
+    /// Requests on trial that are in flight.
     on_trial: BTreeSet<Fingerprint>,
-    /// Requests that are refused, as far as that was logged.
-    told: BTreeSet<Fingerprint>,
-    /// Whether it was tried to read what the platform keeps.
-    pub(super) is_read: bool,
+    /// Requests whose refusal was logged.
+    refusals_logged: BTreeSet<Fingerprint>,
+    /// Whether this gateway has tried to read the crashes that the platform stores.
+    pub(super) stored_crashes_read: bool,
 }
 
 impl<P: Platform> Gateway<P> {
-    /// Why a request is sent to no server, and for how much longer, if it is not: servers crash under it, or one did
-    /// just as it began there.
+    /// Why a request is not sent to any server and for how much longer, if that is so: it crashes
+    /// servers, or a server crashed recently just as it began there.
     pub fn crash_refusal(&self, fingerprint: Fingerprint) -> Option<(Cause, Millis)> {
         let now = self.now();
         let crashes = self.crashes.borrow();
@@ -122,17 +126,18 @@
         Some((Cause::CrashSuspect, left))
     }
 
-    /// Begins a request, which may be one that is tried again.
+    /// Begins a request; returns a trial if the request is to be sent one at a time.
     ///
     /// # Errors
     ///
-    /// It is turned away, or tried one at a time, and another one is out: why, and for how much longer.
+    /// The request is refused or held back, or it is on trial and another trial of it is in flight:
+    /// the cause, and for how much longer.
     pub async fn begin_trial_if_suspect(
         self: &Rc<Self>,
         fingerprint: Fingerprint,
     ) -> Result<Option<Trial<P>>, (Cause, Millis)> {
-        if let Some(turned_away) = self.crash_refusal(fingerprint) {
-            return Err(turned_away);
+        if let Some(refusal) = self.crash_refusal(fingerprint) {
+            return Err(refusal);
         }
         if self.crashes.borrow().quarantine(fingerprint, self.now()) != Quarantine::OneAtATime {
             return Ok(None);
@@ -141,22 +146,23 @@
             return Err((Cause::CrashSuspect, TRIAL_INTERVAL));
         }
         let trial = Trial { gateway: self.clone(), fingerprint };
-        // Where nobody answers, this gateway alone can be held to one at a time.
+        // Without a reply this gateway can only limit its own trials to one at a time.
         match permits::ask(self, Wanted::Trial(fingerprint)).await {
             Some(Grant { permits: 0, retry_in }) => Err((Cause::CrashSuspect, retry_in)),
             Some(_) | None => Ok(Some(trial)),
         }
     }
 
-    /// Waits until other gateways had time to hear what cannot wait, as far as that takes no longer than a caller
-    /// takes to notice that its answer broke off and to come again elsewhere.
+    /// Waits until urgent gossip had time to reach other gateways. The wait is no longer than a
+    /// caller needs to notice a truncated answer and to retry at another gateway.
     pub async fn await_urgent_gossip(&self) {
-        // In vain where others cannot be reached.
-        drop(time::timeout(MOST_TELLING, self.urgent_gossip_done.notified()).await);
+        // A time-out is ignored: other gateways may be unreachable.
+        drop(time::timeout(URGENT_GOSSIP_TIMEOUT, self.urgent_gossip_done.notified()).await);
     }
 
-    /// A request has had no whole answer of a server. Whether the server has crashed is known at the return where that
-    /// decides whether the request may be sent again, else soon.
+    /// Records that a server sent no complete answer to a request. On return it is known whether
+    /// the server has crashed if that decides whether the request may be sent again, otherwise it
+    /// is known soon.
     pub async fn note_truncated(
         self: &Rc<Self>,
         server: Key<Server>,
@@ -165,89 +171,92 @@
     ) {
         let now = self.now();
         let suspect = progress.suspect(fingerprint, now);
-        let (finding, is_asked) = {
-            let mut found = self.crash_detection.borrow_mut();
-            found.broken.retain(|_, broken| !broken.answers.is_expired(now));
-            let broken = found.broken.entry(server).or_insert_with(|| Broken {
-                answers: TruncatedAnswers::default(),
-                finding: Finding::Open,
-                is_asked: false,
-            });
-            broken.answers.add(suspect, now);
-            (broken.finding, broken.is_asked)
+        let (status, is_probing) = {
+            let mut detection = self.crash_detection.borrow_mut();
+            detection.truncations.retain(|_, truncations| !truncations.answers.is_expired(now));
+            let truncations =
+                detection.truncations.entry(server).or_insert_with(|| ServerTruncations {
+                    answers: TruncatedAnswers::default(),
+                    status: CrashStatus::Unconfirmed,
+                    is_probing: false,
+                });
+            truncations.answers.add(suspect, now);
+            (truncations.status, truncations.is_probing)
         };
-        if finding == Finding::Crashed {
+        if status == CrashStatus::Confirmed {
             self.report(server);
         } else if suspect.stage == Stage::Starting
             || self.with_crashes(|crashes| crashes.is_one_crash_from_refusal(fingerprint, now))
         {
-            self.find_out(server).await;
-        } else if !is_asked {
-            self.set_asked(server, true);
+            self.probe(server).await;
+        } else if !is_probing {
+            self.set_probing(server, true);
             let gateway = self.clone();
             tokio::task::spawn_local(async move {
-                gateway.find_out(server).await;
-                gateway.set_asked(server, false);
+                gateway.probe(server).await;
+                gateway.set_probing(server, false);
             });
         }
     }
 
-    fn set_asked(&self, server: Key<Server>, is_asked: bool) {
-        if let Some(broken) = self.crash_detection.borrow_mut().broken.get_mut(&server) {
-            broken.is_asked = is_asked;
+    fn set_probing(&self, server: Key<Server>, is_probing: bool) {
+        if let Some(truncations) = self.crash_detection.borrow_mut().truncations.get_mut(&server) {
+            truncations.is_probing = is_probing;
         }
     }
 
-    /// Finds out whether a server has crashed.
-    async fn find_out(self: &Rc<Self>, server: Key<Server>) {
+    /// Probes whether a server has crashed.
+    async fn probe(self: &Rc<Self>, server: Key<Server>) {
         let address = self.with_pool(|pool| pool.server(server).listed.address);
         self.metrics.connections_opened.inc();
         match Connection::open(server, address).await {
             Ok(connection) => self.connections.keep(connection),
-            Err(error) if is_refusal(&error) => self.crashed(server),
-            // It may be cut off; what the list says of it decides.
+            Err(error) if is_refusal(&error) => self.mark_crashed(server),
+            // It may be unreachable from here; the server list decides.
             Err(_) => {}
         }
     }
 
-    /// The list of servers has changed: those that it names no more, and that were not leaving, have
-    /// crashed, if answers of theirs broke off.
+    /// Handles a change of the server list: servers that are no longer listed and were not leaving
+    /// have crashed, if they sent truncated answers.
     pub(super) fn note_unlisted(&self) {
         let now = self.now();
-        let gone: Vec<Key<Server>> = {
-            let (found, pool) = (self.crash_detection.borrow(), self.pool.borrow());
-            let open = found.broken.iter().filter(|(key, broken)| {
-                let is_gone = !pool.is_present(**key) && !pool.server(**key).is_leaving();
-                is_gone && broken.finding == Finding::Open && !broken.answers.is_expired(now)
+        let unlisted: Vec<Key<Server>> = {
+            let (detection, pool) = (self.crash_detection.borrow(), self.pool.borrow());
+            let open = detection.truncations.iter().filter(|(key, truncations)| {
+                let is_unlisted = !pool.is_present(**key) && !pool.server(**key).is_leaving();
+                is_unlisted
+                    && truncations.status == CrashStatus::Unconfirmed
+                    && !truncations.answers.is_expired(now)
             });
             open.map(|(key, _)| *key).collect()
         };
-        gone.into_iter().for_each(|server| self.crashed(server));
+        unlisted.into_iter().for_each(|server| self.mark_crashed(server));
     }
 
-    fn crashed(&self, server: Key<Server>) {
-        if let Some(broken) = self.crash_detection.borrow_mut().broken.get_mut(&server) {
-            if broken.finding == Finding::Open {
+    fn mark_crashed(&self, server: Key<Server>) {
+        if let Some(truncations) = self.crash_detection.borrow_mut().truncations.get_mut(&server) {
+            if truncations.status == CrashStatus::Unconfirmed {
                 self.metrics.servers_crashed.inc();
             }
-            broken.finding = Finding::Crashed;
+            truncations.status = CrashStatus::Confirmed;
         }
         self.report(server);
     }
 
-    /// Reports what was at a server that crashed.
+    /// Reports the requests that were at a server that crashed.
     fn report(&self, server: Key<Server>) {
         let (crashed_at, suspects) = {
-            let mut found = self.crash_detection.borrow_mut();
-            let Some(broken) = found.broken.get_mut(&server) else { return };
-            let (crashed_at, suspects) = broken.answers.confirm_crash();
-            found.own.extend(suspects.iter().map(|suspect| suspect.fingerprint));
+            let mut detection = self.crash_detection.borrow_mut();
+            let Some(truncations) = detection.truncations.get_mut(&server) else { return };
+            let (crashed_at, suspects) = truncations.answers.confirm_crash();
+            detection.own.extend(suspects.iter().map(|suspect| suspect.fingerprint));
             (crashed_at, suspects)
         };
         if suspects.is_empty() {
             return;
         }
-        let life = self.with_pool(|pool| {
+        let incarnation = self.with_pool(|pool| {
             let listed = &pool.server(server).listed;
             let count = suspects.len();
             self.event_log
@@ -256,93 +265,96 @@
         });
         let age = self.now().since(crashed_at);
         let reporter = Reporter(self.with_members(|members| members.own().incarnation_id().0));
-        self.merge_crashes(&[Crash { server: life, reporter, age, suspects }], &[]);
+        self.merge_crashes(&[Crash { server: incarnation, reporter, age, suspects }], &[]);
     }
 
-    /// A server has answered what was sent to it at `sent_at`.
+    /// Records that a server answered a request that was sent at `sent_at`.
     pub fn note_server_answered(&self, server: Key<Server>, sent_at: Millis) {
-        let mut found = self.crash_detection.borrow_mut();
-        let broken = found.broken.get_mut(&server);
-        if let Some(broken) = broken.filter(|broken| broken.finding == Finding::Open) {
-            broken.answers.record_answer(sent_at);
+        let mut detection = self.crash_detection.borrow_mut();
+        let truncations = detection.truncations.get_mut(&server);
+        if let Some(truncations) =
+            truncations.filter(|truncations| truncations.status == CrashStatus::Unconfirmed)
+        {
+            truncations.answers.record_answer(sent_at);
         }
     }
 
-    /// A request has had its whole answer.
+    /// Records that a request got its complete answer.
     pub fn note_completed(&self, fingerprint: Fingerprint) {
         let now = self.now();
-        let news = self.crashes.borrow_mut().record_completed(fingerprint, now);
-        self.act_on(news, now);
+        let outcome = self.crashes.borrow_mut().record_completed(fingerprint, now);
+        self.act_on(outcome, now);
     }
 
-    /// Takes what was found here, or what another gateway tells, and hands it on at once if it cannot wait.
+    /// Merges crashes that were detected here or reported by another gateway, and requests urgent
+    /// gossip if they are urgent.
     pub fn merge_crashes(&self, crashes: &[Crash], cleared: &[Cleared]) {
         let now = self.now();
-        let news = {
+        let outcome = {
             let mut known = self.crashes.borrow_mut();
             let of_crashes = crashes.iter().map(|crash| known.record(crash, now)).max();
             let of_cleared = cleared.iter().map(|one| known.clear(*one, now)).max();
             of_crashes.max(of_cleared)
         };
-        self.act_on(news.unwrap_or(MergeOutcome::Unchanged), now);
+        self.act_on(outcome.unwrap_or(MergeOutcome::Unchanged), now);
     }
 
-    fn act_on(&self, news: MergeOutcome, now: Millis) {
-        if news == MergeOutcome::Unchanged {
+    fn act_on(&self, outcome: MergeOutcome, now: Millis) {
+        if outcome == MergeOutcome::Unchanged {
             return;
         }
-        self.tell_refused(now);
+        self.log_refused(now);
         self.crashes_changed.notify_one();
-        if news == MergeOutcome::Urgent {
+        if outcome == MergeOutcome::Urgent {
             self.request_urgent_gossip(Reach::All);
         }
     }
 
-    /// Logs which requests are refused from now on, or no more.
-    fn tell_refused(&self, now: Millis) {
+    /// Logs changes in which requests are refused.
+    fn log_refused(&self, now: Millis) {
         let refused: BTreeSet<Fingerprint> =
             self.crashes.borrow().refused(now).into_iter().collect();
         self.metrics.crashing_known.set(refused.len() as i64);
-        let mut found = self.crash_detection.borrow_mut();
-        for fingerprint in refused.difference(&found.told) {
+        let mut detection = self.crash_detection.borrow_mut();
+        for fingerprint in refused.difference(&detection.refusals_logged) {
             let number = fingerprint.0;
-            self.event_log
-                .state(format_args!("request {number} is refused: servers crash under it"));
+            self.event_log.state(format_args!("request {number} is refused: it crashes servers"));
         }
-        for fingerprint in found.told.difference(&refused) {
-            self.event_log.state(format_args!("request {} is refused no more", fingerprint.0));
+        for fingerprint in detection.refusals_logged.difference(&refused) {
+            self.event_log.state(format_args!("request {} is no longer refused", fingerprint.0));
         }
-        found.told = refused;
+        detection.refusals_logged = refused;
     }
 
-    /// What the platform keeps of crashes was read, or could not be: callers may be sent here.
+    /// Records that the stored crashes were read or could not be read: callers may be sent here.
     pub fn note_crashes_read(&self) {
-        self.crash_detection.borrow_mut().is_read = true;
+        self.crash_detection.borrow_mut().stored_crashes_read = true;
     }
 
-    /// Does something with all that is known of crashes.
+    /// Calls `act` with all known crashes.
     pub fn with_crashes<T>(&self, act: impl FnOnce(&Crashes) -> T) -> T {
         act(&self.crashes.borrow())
     }
 
-    /// Forgets what is too old; returns what was at more than one crash, and at one here.
+    /// Removes expired crashes; returns the requests that were at more than one crash, of which
+    /// this gateway detected one.
     pub fn crashes_to_store(&self) -> Vec<StoredCrashes> {
         let now = self.now();
         self.crashes.borrow_mut().expire(now);
-        self.tell_refused(now);
+        self.log_refused(now);
         let crashes = self.crashes.borrow();
-        let worth = crashes.repeat_suspects(now);
-        let mut found = self.crash_detection.borrow_mut();
-        found.own.retain(|one| crashes.is_suspect(*one));
-        let kept = found
+        let candidates = crashes.repeat_suspects(now);
+        let mut detection = self.crash_detection.borrow_mut();
+        detection.own.retain(|one| crashes.is_suspect(*one));
+        let rows = detection
             .own
-            .intersection(&worth)
+            .intersection(&candidates)
             .map(|one| StoredCrashes { fingerprint: *one, crashes: crashes.crashes_of(*one, now) });
-        kept.collect()
+        rows.collect()
     }
 }
 
-/// Whether nobody listens there any more.
+/// Whether an error means that no process listens at the address any more.
 fn is_refusal(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset)
 }
--- a/crates/direct/src/gateway/eras.rs
+++ b/crates/direct/src/gateway/eras.rs
@@ -1,4 +1,9 @@
-//! Eras of the platform's store: it came back from an older copy of itself, and has lost what was written since.
+//! Eras of the platform's store. Input: the eras that the store and other gateways report. State:
+//! the latest era, and when it began. Decides whether a new era has begun, and when this gateway
+//! writes its rows again.
+//!
+//! A new era begins when the store is restored from an older copy. The store has then lost what was
+//! written since that copy.
 
 use std::time::Duration;
 
@@ -9,35 +14,36 @@
 use crate::gateway::Gateway;
 use crate::platform::Platform;
 
-/// Time from one gateway to the next as they write again what the store has lost: it takes 300 writes a second
-/// to one part of a table.
-const WRITE_EACH: Millis = Millis(10);
+/// Mean interval between two gateways that write lost rows again. The store accepts 300 writes per
+/// second to one part of a table.
+const WRITE_INTERVAL: Millis = Millis(10);
 
 impl<P: Platform> Gateway<P> {
-    /// The store's era, as far as it was told.
+    /// Latest era of the store that is known.
     pub fn era(&self) -> Option<u64> {
         *self.eras.borrow()
     }
 
-    /// Whether the store came back from an older copy less than `span` ago: claims that stood there may be missing.
+    /// Whether a new era began less than `span` ago: claims that the store held may be missing.
     pub fn era_began_within(&self, span: Millis) -> bool {
         let now = self.now();
         self.era_began_at.get().is_some_and(|at| now.since(at) < span)
     }
 
-    /// Tells whoever waits for it that an era begins; the first that is told to a process, too.
+    /// A receiver that is notified of each new era, including the first one that this process
+    /// learns of.
     pub fn watch_eras(&self) -> watch::Receiver<Option<u64>> {
         self.eras.subscribe()
     }
 
-    /// A moment within a span that is longer the more gateways there are: what all write again at once would be
-    /// more than the store takes.
+    /// Random delay within a span that is proportional to the number of gateways. Simultaneous
+    /// writes of all gateways would exceed the write rate that the store accepts.
     pub fn write_delay(&self) -> Duration {
         let all = self.with_members(|members| members.known().count());
-        Duration::from(Millis(WRITE_EACH.0 * all as u64)).mul_f64(rand::rng().random())
+        Duration::from(Millis(WRITE_INTERVAL.0 * all as u64)).mul_f64(rand::rng().random())
     }
 
-    /// The store, or another gateway, has told an era.
+    /// Records an era that the store or another gateway reported.
     pub fn note_era(&self, era: u64) {
         let known = self.era();
         if known.is_some_and(|known| known >= era) {
@@ -45,7 +51,8 @@
         }
         if known.is_some() {
             self.metrics.store_eras.inc();
-            self.event_log.state(format_args!("the store came back from an older copy: era {era}"));
+            self.event_log
+                .state(format_args!("the store was restored from an older copy: era {era}"));
             let now = self.now();
             self.era_began_at.set(Some(now));
             self.with_members(|members| members.begin_era(now));
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -1,4 +1,7 @@
-//! How many requests backend servers take from all gateways together: heard, told, and kept.
+//! Advertised limits: how many requests backend servers accept from all gateways together. Input:
+//! the heads of their answers, limits from other gateways, and granted permits. State: limits and
+//! permits are recorded in the pool. Decides whether a request may be sent to a server, and whether
+//! a change of a limit is urgent.
 
 use std::rc::Rc;
 
@@ -20,23 +23,24 @@
 use crate::permits::Wanted;
 use crate::platform::Platform;
 
-/// Leave to send one request to a server.
+/// Permission to send one request to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Permit {
-    /// `None`: the server named no limit when it was chosen.
-    good_until: Option<Millis>,
+    /// `None`: the server advertised no limit when it was chosen.
+    valid_until: Option<Millis>,
 }
 
 impl Permit {
-    /// Whether it is leave to send to a server that names a limit by now.
+    /// Whether it permits a request to a server that advertises a limit now.
     pub fn is_valid(self, now: Millis) -> bool {
-        self.good_until.is_some_and(|until| until > now)
+        self.valid_until.is_some_and(|until| until > now)
     }
 }
 
 impl<P: Platform> Gateway<P> {
-    /// A server answered a request that was sent at `sent_at` with this head. One that names no limit in it names none
-    /// any more, if the answer `lifts` limits. Returns what it named, if that is news.
+    /// Records the limit in the head of a server's answer to a request that was sent at `sent_at`.
+    /// An answer without a limit withdraws the known one if it `lifts` limits. Returns the
+    /// advertised limit, if it changed the known one.
     pub fn note_limit<'a>(
         &self,
         server: Key<Server>,
@@ -44,12 +48,12 @@
         sent_at: Millis,
         lifts: bool,
     ) -> Option<&'a str> {
-        // Another server than the one that was asked speaks for itself only.
+        // A server other than the expected one reports its own state only.
         if self.platform.is_other_server(head.status.as_u16()) {
             return None;
         }
-        let named = headers::text(&head.headers, &self.platform.headers().limit);
-        let limit = match named {
+        let advertised = headers::text(&head.headers, &self.platform.headers().limit);
+        let limit = match advertised {
             Some(text) => {
                 self.metrics.limits_advertised.inc();
                 Some(Rate::from_text(text)?)
@@ -57,56 +61,60 @@
             None if lifts && self.with_pool(|pool| pool.limit(server).is_some()) => None,
             None => return None,
         };
-        let said = LimitAdvertisement { limit, earliest: sent_at, latest: self.now() };
-        let heard = self.with_pool(|pool| pool.merge_limit(server, said));
-        self.act_on_limit(heard);
-        if heard != LimitMergeOutcome::Unchanged {
+        let advertisement = LimitAdvertisement { limit, earliest: sent_at, latest: self.now() };
+        let outcome = self.with_pool(|pool| pool.merge_limit(server, advertisement));
+        self.act_on_limit(outcome);
+        if outcome != LimitMergeOutcome::Unchanged {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
-            self.event_log.state(format_args!("server {id} takes {} a second", Told(limit)));
+            self.event_log
+                .state(format_args!("server {id} accepts {} per second", LimitText(limit)));
         }
-        named.filter(|_| heard != LimitMergeOutcome::Unchanged)
+        advertised.filter(|_| outcome != LimitMergeOutcome::Unchanged)
     }
 
-    /// Takes what another gateway tells of limits.
-    pub fn apply_limits(&self, told: &[(ServerIncarnation, LimitAdvertisement)]) {
-        let heard = self.with_pool(|pool| {
-            told.iter().map(|(server, said)| pool.merge_limit_of(*server, *said)).max()
+    /// Applies limits that another gateway sent.
+    pub fn apply_limits(&self, advertisements: &[(ServerIncarnation, LimitAdvertisement)]) {
+        let outcome = self.with_pool(|pool| {
+            advertisements
+                .iter()
+                .map(|(server, advertisement)| pool.merge_limit_of(*server, *advertisement))
+                .max()
         });
-        self.act_on_limit(heard.unwrap_or(LimitMergeOutcome::Unchanged));
+        self.act_on_limit(outcome.unwrap_or(LimitMergeOutcome::Unchanged));
     }
 
-    fn act_on_limit(&self, heard: LimitMergeOutcome) {
-        if heard == LimitMergeOutcome::Unchanged {
+    fn act_on_limit(&self, outcome: LimitMergeOutcome) {
+        if outcome == LimitMergeOutcome::Unchanged {
             return;
         }
         self.limits_changed.notify_one();
-        if heard == LimitMergeOutcome::Urgent {
+        if outcome == LimitMergeOutcome::Urgent {
             self.request_urgent_gossip(Reach::All);
         }
     }
 
-    /// Leave to send one request to a server; `None` if there is none for now.
+    /// A permit to send one request to a server; `None` if none is available now.
     pub async fn permit(self: &Rc<Self>, server: Key<Server>) -> Option<Permit> {
         let now = self.now();
-        let taken = self.with_pool(|pool| pool.take_permit(server, now));
-        let Permission::Ask(wanted) = taken else { return self.permitted(taken) };
-        let (life, ramp_up_rate) =
+        let permission = self.with_pool(|pool| pool.take_permit(server, now));
+        let Permission::Ask(wanted) = permission else { return self.permitted(permission) };
+        let (incarnation, ramp_up_rate) =
             self.with_pool(|pool| (pool.incarnation(server), pool.ramp_up_rate(server, now)));
-        let wanted = Wanted::Requests(life, wanted, ramp_up_rate);
-        let given = permits::ask(self, wanted).await.unwrap_or_default();
-        let told_at = self.now();
-        let taken = self.with_pool(|pool| {
-            pool.record_grant(server, given, now, told_at);
-            if given.permits == 0 { Permission::None } else { pool.take_permit(server, told_at) }
+        let wanted = Wanted::Requests(incarnation, wanted, ramp_up_rate);
+        let grant = permits::ask(self, wanted).await.unwrap_or_default();
+        let granted_at = self.now();
+        let permission = self.with_pool(|pool| {
+            pool.record_grant(server, grant, now, granted_at);
+            if grant.permits == 0 { Permission::None } else { pool.take_permit(server, granted_at) }
         });
         self.permit_reply_received.notify_waiters();
-        self.permitted(taken)
+        self.permitted(permission)
     }
 
-    fn permitted(&self, taken: Permission) -> Option<Permit> {
-        match taken {
-            Permission::Free => Some(Permit { good_until: None }),
-            Permission::Until(until) => Some(Permit { good_until: Some(until) }),
+    fn permitted(&self, permission: Permission) -> Option<Permit> {
+        match permission {
+            Permission::Free => Some(Permit { valid_until: None }),
+            Permission::Until(until) => Some(Permit { valid_until: Some(until) }),
             Permission::Ask(_) | Permission::None => {
                 self.metrics.permits_unavailable.inc();
                 None
@@ -114,16 +122,16 @@
         }
     }
 
-    /// Does something with the permits that are given out.
+    /// Calls `act` with the permits that this gateway grants.
     pub fn with_permits<T>(&self, act: impl FnOnce(&mut Permits) -> T) -> T {
         act(&mut self.permits.borrow_mut())
     }
 }
 
-/// A limit, in words.
-struct Told(Option<Rate>);
+/// A limit, formatted for a log line.
+struct LimitText(Option<Rate>);
 
-impl std::fmt::Display for Told {
+impl std::fmt::Display for LimitText {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
             Some(limit) => write!(f, "{} requests", limit.in_1000_s as f64 / 1_000.0),
--- a/crates/direct/src/gateway/server_notices.rs
+++ b/crates/direct/src/gateway/server_notices.rs
@@ -1,4 +1,6 @@
-//! What backend servers ask in their answers, taken note of and kept.
+//! Notices that backend servers send in their answers: back-off and leaving. Input: the heads of
+//! their answers. State: the notices are recorded in the pool. Decides which servers are sent no
+//! requests, and when a refused caller is to retry.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::outage;
@@ -15,12 +17,12 @@
 use crate::platform::Platform;
 
 impl<P: Platform> Gateway<P> {
-    /// A server answered with this head: whether it leaves, and whether it wants a rest. Returns what it
-    /// asked, if that is a rest.
+    /// Records the notices in the head of a server's answer: whether it is leaving, and whether it
+    /// requests a back-off. Returns the text of the requested back-off, if there is one.
     pub fn note_server_notices<'a>(&self, server: Key<Server>, head: &'a Parts) -> Option<&'a str> {
         self.note_leaving(server, head);
-        let turns_away = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
-        if !turns_away.contains(&head.status) {
+        let refusals = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
+        if !refusals.contains(&head.status) {
             return None;
         }
         let asked = headers::text(&head.headers, &header::RETRY_AFTER)?;
@@ -33,29 +35,30 @@
             pool.all_unavailable_until(&service, now).map(|_| service)
         });
         if let Some(service) = all_unavailable_for {
-            // Whoever waits there is told at once.
+            // Waiting streams are released now: each gets a refusal with the time at which to
+            // retry.
             self.entrance(&service).let_all_go();
         }
         Some(asked)
     }
 
-    /// A server answered with this head: whether it leaves.
+    /// Records whether a server's answer announces that it is leaving.
     pub fn note_leaving(&self, server: Key<Server>, head: &Parts) {
-        let told = headers::text(&head.headers, &self.platform.headers().leaving);
-        // Another server than the one that was asked speaks for itself only.
+        let notice = headers::text(&head.headers, &self.platform.headers().leaving);
+        // A server other than the expected one reports its own state only.
         let is_other = self.platform.is_other_server(head.status.as_u16());
-        if told.map(str::trim) != Some("1") || is_other {
+        if notice.map(str::trim) != Some("1") || is_other {
             return;
         }
         if self.with_pool(|pool| pool.mark_leaving(server)) {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
-            self.event_log.state(format_args!("server {id} says that it leaves"));
+            self.event_log.state(format_args!("server {id} reports that it is leaving"));
         }
     }
 
-    /// When a caller shall come back, if all servers of a service that would take requests have asked for
-    /// a rest or are at their limits: once the first takes requests, or soon after, or all callers would come at that
-    /// moment.
+    /// Time after which a refused caller is to retry, if all servers of a service that would accept
+    /// requests are backing off or at their limits: when the first one accepts requests again, plus
+    /// jitter, so that callers do not all retry at that moment.
     pub fn all_unavailable_for(&self, service: &str) -> Option<Millis> {
         let now = self.now();
         let until = self.with_pool(|pool| pool.all_unavailable_until(service, now))?;
--- a/crates/direct/src/gateway/slow_servers.rs
+++ b/crates/direct/src/gateway/slow_servers.rs
@@ -1,4 +1,7 @@
-//! What the leaders of expert maps found of backend servers, brought into force and handed on at once.
+//! Slow-server reports, and urgent gossip. Input: reports of the leaders of expert maps, and
+//! requests for urgent gossip. State: the newest reports, and the urgent gossip rounds that are
+//! left. Decides which reports are new, and whether and with which gateways the next gossip round
+//! takes place at once.
 
 use hooktrestle_core::direct::slow_servers::SlowServerReport;
 use hooktrestle_core::direct::slow_servers::SlowServerReports;
@@ -6,51 +9,52 @@
 use crate::gateway::Gateway;
 use crate::platform::Platform;
 
-/// Rounds of news that follow at once on one that cannot wait: with each gateway that hears of it
-/// telling two others, it reaches all but a few, and these in the next round.
-const URGENT_ROUNDS: u32 = 2;
+/// Gossip rounds that follow without delay for an urgent update. Each gateway that receives it
+/// sends it to two others, so it reaches all but a few, and these in the next round.
+const URGENT_GOSSIP_ROUNDS: u32 = 2;
 
-/// Whom news that cannot wait are told.
+/// Gateways that urgent gossip is sent to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Reach {
-    /// Those of the own data centre: each has some that follow the store closely, and bytes between data
-    /// centres are priced. Told to all, changes of a day on which the configuration grew by 1,400 routes
-    /// took 0.39 GB more between data centres.
+    /// Gateways of this data centre. Each data centre has some gateways that follow the store
+    /// closely, and traffic between data centres is priced. With changes sent to all gateways, a
+    /// day on which the configuration grew by 1,400 routes had 0.39 GB more traffic between data
+    /// centres.
     DataCentre,
-    /// All.
+    /// All gateways.
     All,
 }
 
 impl<P: Platform> Gateway<P> {
-    /// What the leaders of expert maps found of servers.
+    /// Calls `act` with the slow-server reports.
     pub fn with_slow_server_reports<T>(&self, act: impl FnOnce(&SlowServerReports) -> T) -> T {
         act(&self.slow_server_reports.borrow())
     }
 
-    /// Takes a finding, from the own lead or from another gateway, and hands it on at once if it is
-    /// new.
-    pub fn apply_slow_server_report(&self, service: &str, finding: &SlowServerReport) {
+    /// Applies a slow-server report of this gateway's own leadership or of another gateway, and
+    /// requests urgent gossip if it is new.
+    pub fn apply_slow_server_report(&self, service: &str, report: &SlowServerReport) {
         let now = self.now();
-        if !self.slow_server_reports.borrow_mut().apply(service, finding, now) {
+        if !self.slow_server_reports.borrow_mut().apply(service, report, now) {
             return;
         }
-        self.with_pool(|pool| pool.set_slow(service, &finding.servers, finding.age, now));
+        self.with_pool(|pool| pool.set_slow(service, &report.servers, report.age, now));
         self.request_urgent_gossip(Reach::All);
     }
 
-    /// Exchanges news at once: there is some that cannot wait.
+    /// Requests urgent gossip rounds, which start at once.
     pub fn request_urgent_gossip(&self, reach: Reach) {
-        let reach = self.urgent_gossip_reach().map_or(reach, |waiting| waiting.max(reach));
-        self.urgent_rounds.set(Some((URGENT_ROUNDS, reach)));
+        let reach = self.urgent_gossip_reach().map_or(reach, |requested| requested.max(reach));
+        self.urgent_rounds.set(Some((URGENT_GOSSIP_ROUNDS, reach)));
         self.urgent_gossip.notify_one();
     }
 
-    /// With whom news are to be exchanged at once, if with anybody.
+    /// Reach of the urgent gossip rounds that are left, if there are any.
     pub fn urgent_gossip_reach(&self) -> Option<Reach> {
         self.urgent_rounds.get().map(|(_, reach)| reach)
     }
 
-    /// Takes one of the rounds of news that are to be made at once, if one is left.
+    /// Takes one of the urgent gossip rounds that are left, and returns its reach.
     pub fn take_urgent_gossip_round(&self) -> Option<Reach> {
         let (left, reach) = self.urgent_rounds.get()?;
         self.urgent_rounds.set((left > 1).then_some((left - 1, reach)));
--- a/crates/direct/src/gateway/tables.rs
+++ b/crates/direct/src/gateway/tables.rs
@@ -1,4 +1,6 @@
-//! News of the platform's tables, from the store or from other gateways, brought into force.
+//! Updates of the platform's tables. Input: updates from the store and from other gateways. State:
+//! a replica of each table, and rows that the store has lost. Decides which changes of a table take
+//! effect, and which gateways receive them at once.
 
 use hooktrestle_core::direct::replica::LostRow;
 use hooktrestle_core::direct::replica::Replica;
@@ -11,12 +13,12 @@
 use crate::platform::Platform;
 use crate::platform::Table;
 
-/// Rows that name no server and are told in the log, in the life of a process: another writer may put
-/// any number there.
-const MOST_PASSED_OVER_TOLD: usize = 64;
+/// Maximum number of invalid rows that a process logs: another writer may insert any number of
+/// them.
+const MAX_IGNORED_ROWS_LOGGED: usize = 64;
 
 impl<P: Platform> Gateway<P> {
-    /// How much is known of a table.
+    /// Revision up to which a table is known.
     pub fn revision(&self, table: Table) -> Revision {
         self.replicas.borrow().get(&table).map(Replica::revision).unwrap_or_default()
     }
@@ -26,18 +28,18 @@
         self.revision(table) > Revision::default()
     }
 
-    /// What another gateway lacks of a table.
+    /// Changes of a table after `revision`, for another gateway.
     pub fn since(&self, table: Table, revision: Revision) -> Option<Update> {
         self.replicas.borrow().get(&table)?.since(revision)
     }
 
-    /// Takes news of a table, from the store or from another gateway, and brings it into force.
+    /// Applies an update of a table from the store or from another gateway.
     pub fn apply_update(&self, table: Table, update: &Update, source: &'static str) {
         let known = self.revision(table);
         if table == Table::Configuration && update.revision.era > known.era {
             self.retain_configuration();
         }
-        let taken = match self.replicas.borrow_mut().get_mut(&table) {
+        let applied = match self.replicas.borrow_mut().get_mut(&table) {
             Some(replica) => replica.apply(update),
             None => return,
         };
@@ -45,13 +47,15 @@
         let era_began = revision.era > known.era;
         if era_began {
             let name = table.name();
-            self.event_log.state(format_args!("{name} taken at {revision}, from {source}"));
+            self.event_log.state(format_args!(
+                "{name} replaced in a new era, at revision {revision}, from {source}"
+            ));
         }
         self.note_era(revision.era);
-        let mut changed = taken.changed;
+        let mut changed = applied.changed;
         if table == Table::Servers {
             if era_began {
-                self.keep_lost(taken.lost);
+                self.hold_lost(applied.lost);
             }
             changed.extend(self.settled());
         }
@@ -59,7 +63,7 @@
             return;
         }
         if known > Revision::default() {
-            // Most gateways hear of changes from each other alone.
+            // Most gateways learn of changes from other gateways only.
             self.request_urgent_gossip(Reach::DataCentre);
         }
         match table {
@@ -70,36 +74,40 @@
         }
     }
 
-    /// What is lost of the list of servers holds until it is written again, or for a while.
-    fn keep_lost(&self, mut lost: Vec<LostRow>) {
+    /// Holds lost rows of the server list until they are written again, or for a limited time.
+    fn hold_lost(&self, mut lost: Vec<LostRow>) {
         let replicas = self.replicas.borrow();
         let Some(replica) = replicas.get(&Table::Servers) else { return };
-        lost.retain(|lost| self.holds(lost, replica));
+        lost.retain(|lost| self.takes_precedence(lost, replica));
         if !lost.is_empty() {
             let keys: Vec<&str> = lost.iter().map(|lost| lost.key.as_str()).collect();
-            let line = format_args!("lost to the store, held for now: servers {}", keys.join(", "));
+            let line =
+                format_args!("rows lost by the store, held for now: servers {}", keys.join(", "));
             self.event_log.state(line);
         }
         self.unconfirmed.borrow_mut().begin(lost, replica, self.now());
         self.rows_lost.notify_one();
     }
 
-    /// Whether a lost row holds against the one that the store tells: a server that leaves or is gone takes no
-    /// more work, while one that was ready may have said since that it leaves.
-    fn holds(&self, lost: &LostRow, replica: &Replica) -> bool {
-        let (Some(known), Some(told)) = (&lost.value, replica.get(&lost.key)) else { return true };
+    /// Whether the lost value of a row takes precedence over the store's. A server that was leaving
+    /// or removed receives no requests, while one that was ready may have reported since that it is
+    /// leaving.
+    fn takes_precedence(&self, lost: &LostRow, replica: &Replica) -> bool {
+        let (Some(known), Some(stored)) = (&lost.value, replica.get(&lost.key)) else {
+            return true;
+        };
         let leaves = |value| self.platform.listed(&lost.key, value).is_ok_and(|row| row.leaving);
-        leaves(known) && !leaves(told)
+        leaves(known) && !leaves(stored)
     }
 
-    /// Servers whose rows were written again, or were waited for in vain.
+    /// Servers whose lost rows were written again or have expired.
     fn settled(&self) -> Vec<String> {
         let replicas = self.replicas.borrow();
         let Some(replica) = replicas.get(&Table::Servers) else { return Vec::new() };
         self.unconfirmed.borrow_mut().settle(replica, self.now())
     }
 
-    /// Lets go of rows that were waited for in vain; whether others are waited for.
+    /// Removes lost rows that have expired; returns whether others are held.
     pub fn settle(&self) -> bool {
         let settled = self.settled();
         if !settled.is_empty() {
@@ -108,11 +116,11 @@
         !self.unconfirmed.borrow().is_empty()
     }
 
-    /// The store told a table that is older than what is known of it.
+    /// Records that the store returned a table that is older than the known one.
     pub fn note_old_table(&self, table: Table, revision: Revision) {
         self.metrics.stale_tables_read.inc();
         self.event_log.state(format_args!(
-            "{} read at revision {revision}, known up to {}: passed over",
+            "{} read at revision {revision}, known up to {}: ignored",
             table.name(),
             self.revision(table)
         ));
@@ -139,7 +147,7 @@
                     pool.list(listed, replica.revision_of(id));
                 }
                 Some(Err(error)) => {
-                    self.note_no_server(id, &error);
+                    self.note_invalid_row(id, &error);
                     pool.unlist(id);
                 }
                 None => {
@@ -150,12 +158,13 @@
         }
     }
 
-    /// A row of the list names no server: counted, and logged once a row, for so many rows.
-    fn note_no_server(&self, id: &str, error: &Malformed) {
+    /// Records an invalid row of the server list: it is counted, and logged once per row up to a
+    /// maximum number of rows.
+    fn note_invalid_row(&self, id: &str, error: &Malformed) {
         self.metrics.rows_ignored.inc();
-        let mut told = self.ignored_rows_logged.borrow_mut();
-        if told.len() < MOST_PASSED_OVER_TOLD && told.insert(id.to_owned()) {
-            self.event_log.state(format_args!("server passed over: {error}"));
+        let mut logged = self.ignored_rows_logged.borrow_mut();
+        if logged.len() < MAX_IGNORED_ROWS_LOGGED && logged.insert(id.to_owned()) {
+            self.event_log.state(format_args!("server row ignored: {error}"));
         }
     }
 }
--- a/crates/direct/src/platform.rs
+++ b/crates/direct/src/platform.rs
@@ -1,4 +1,6 @@
-//! What a gateway needs of the platform that it runs on.
+//! Interface to the platform that a gateway runs on. Input: calls of the gateway's tasks. State:
+//! held by the implementation. An implementation decides how tables, claims, crashes, engine
+//! requests and headers are represented.
 
 use std::fmt;
 use std::future::Future;
@@ -28,9 +30,9 @@
 pub enum Table {
     /// The configuration, which operators write.
     Configuration,
-    /// The backend servers, which list themselves.
+    /// The backend servers; each writes its own row.
     Servers,
-    /// The gateways, which list themselves.
+    /// The gateways; each writes its own row.
     Members,
 }
 
@@ -38,7 +40,7 @@
     /// All tables.
     pub const ALL: [Table; 3] = [Table::Configuration, Table::Servers, Table::Members];
 
-    /// Its name between gateways.
+    /// Name of the table in messages between gateways.
     pub fn name(self) -> &'static str {
         match self {
             Table::Configuration => "configuration",
@@ -47,72 +49,75 @@
         }
     }
 
-    /// The table of a name.
+    /// The table with a name.
     pub fn of_name(name: &str) -> Option<Table> {
         Table::ALL.into_iter().find(|table| table.name() == name)
     }
 }
 
-/// Why a call to the platform gave nothing.
+/// Why a call to the platform failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
     /// No connection, or none in time.
     Unreachable,
-    /// It refused; nothing was done.
+    /// The store refused the call, and nothing was done.
     Refused(u16),
-    /// No answer: what was asked may have been done, or may be done later.
+    /// No answer: the call may have taken effect, or may do so later.
     Lost,
-    /// The history that was asked for is gone: read the table anew.
+    /// The requested history is not available any more: the table has to be read anew.
     HistoryGone,
-    /// The answer makes no sense.
+    /// The answer is malformed.
     Malformed,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Unreachable => write!(f, "the store cannot be reached"),
+            Failure::Unreachable => write!(f, "the store is unreachable"),
             Failure::Refused(status) => write!(f, "the store refused with status {status}"),
             Failure::Lost => write!(f, "the store gave no answer in time"),
-            Failure::HistoryGone => write!(f, "the store's history is gone"),
-            Failure::Malformed => write!(f, "the store's answer makes no sense"),
+            Failure::HistoryGone => {
+                write!(f, "the requested history of the store is not available any more")
+            }
+            Failure::Malformed => write!(f, "the store's answer is malformed"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Who claims.
+/// An instance that claims leadership.
 #[derive(Clone, Copy, Debug)]
 pub struct Claimant<'a> {
     /// Name of the instance.
     pub holder: &'a str,
-    /// The highest fencing token that it has or has heard of; 0 if none.
+    /// The highest fencing token that the instance holds or knows of; 0 if none.
     pub newest_token: u64,
 }
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Claim {
-    /// It stands, with a fencing token that is higher than all before it.
+    /// The claim is in force, with a fencing token that is higher than all earlier ones.
     Held(u64),
-    /// Another instance has claimed, not long ago or with a higher token.
+    /// Another instance has a recent claim, or one with a higher token.
     HeldBy(String),
 }
 
-/// Crashes at which one request was, as the platform keeps them for gateways that start later.
+/// Crashes at which one request was present, as the platform stores them for gateways that start
+/// later.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredCrashes {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The crashes, without what ran beside it.
+    /// The crashes, without the other requests that were present.
     pub crashes: Vec<Crash>,
 }
 
-/// A value of a table that cannot be understood.
+/// A row of a table whose value is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Malformed {
-    /// The row.
+    /// Key of the row.
     pub key: String,
     /// What is wrong with it.
     pub reason: String,
@@ -126,62 +131,62 @@
 
 impl std::error::Error for Malformed {}
 
-/// What an engine is asked beside requests.
+/// A request to an engine, other than the requests of callers.
 #[derive(Clone, Copy, Debug)]
 pub enum EngineRequest<'a> {
     /// Its report.
     Report,
     /// How often each expert was chosen.
     Counts,
-    /// Which experts its rank holds.
+    /// The experts of its rank.
     Experts,
-    /// To do something; the map goes with an order to prepare one: experts by set and rank.
+    /// An order. An order to prepare a map comes with the map: experts by set and rank.
     Order(&'a FencedOrder, &'a [Vec<Vec<u16>>]),
 }
 
-/// An engine as it reports itself.
+/// Report of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
     /// Its group.
     pub group: String,
-    /// Its place there.
+    /// Its rank in the group.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// How long its work takes, over the usual time.
+    /// Duration of its work, relative to the usual duration.
     pub pace: f64,
-    /// The state of the rank.
+    /// State of the rank.
     pub state: RankReport,
 }
 
-/// Names of the headers that callers, gateways and backend servers agree on.
+/// Names of the headers that callers, gateways and backend servers use.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Names a request, and its answer.
+    /// Identifier of a request, in the request and in its answer.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// Milliseconds for which the sender waits.
     pub deadline_ms: HeaderName,
     /// The client account, for backend servers.
     pub account: HeaderName,
-    /// The one server that shall run the request.
+    /// The only server that is to run the request.
     pub expect_server: HeaderName,
-    /// How urgent a request is, for backend servers.
+    /// Priority of a request, for backend servers.
     pub priority: HeaderName,
     /// In an answer: the request was not run and will not be.
     pub not_run: HeaderName,
-    /// In an answer: the server's proof that the answer is its own.
+    /// In an answer: the server's proof that it sent the answer.
     pub signature: HeaderName,
-    /// In an answer, `1`: the server leaves.
+    /// In an answer, `1`: the server is leaving.
     pub leaving: HeaderName,
-    /// In an answer: requests a second that the server takes from all gateways together.
+    /// In an answer: requests per second that the server accepts from all gateways together.
     pub limit: HeaderName,
-    /// In an answer: requests running, requests waiting, slots.
+    /// In an answer: running requests, waiting requests, slots.
     pub load: HeaderName,
-    /// In a request for a stream: the last event that the caller has.
+    /// In a request for a stream: the last event that the caller received.
     pub last_event_id: HeaderName,
-    /// Tokens of the prompt, and most tokens of the answer.
+    /// Tokens of the prompt, and maximum number of tokens of the answer.
     pub token_counts: HeaderName,
-    /// The caller's guess of the answer's tokens.
+    /// The caller's estimate of the number of tokens of the answer.
     pub length_hint: HeaderName,
 }
 
@@ -190,15 +195,14 @@
     /// Names of headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// The latest era that an answer of the store was from: how often it has come back from an older
-    /// copy of itself.
+    /// The latest era in an answer of the store: how often it was restored from an older copy.
     fn store_era(&self) -> u64;
 
-    /// Reads a table whole.
+    /// Reads a complete table.
     fn read(&self, table: Table) -> impl Future<Output = Result<Update, Failure>>;
 
-    /// Waits for changes after `revision`, `wait` at most; the history is gone as soon as the store is in
-    /// another era.
+    /// Waits at most `wait` for changes after `revision`. The history is not available once the
+    /// store is in another era.
     fn follow(
         &self,
         table: Table,
@@ -206,14 +210,15 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Update, Failure>>;
 
-    /// Writes or removes the row of a gateway in [`Table::Members`]; returns the era in which that was done.
+    /// Writes or removes the row of a gateway in [`Table::Members`]; returns the era of the write.
     fn write_member(
         &self,
         name: &str,
         value: Option<&str>,
     ) -> impl Future<Output = Result<u64, Failure>>;
 
-    /// Claims the lead of a service's expert maps, unless another instance did so less than `protected` ago.
+    /// Claims leadership of a service's expert maps, unless another instance did so less than
+    /// `protected` ago.
     fn claim_map_leadership(
         &self,
         service: &str,
@@ -221,64 +226,64 @@
         protected: Millis,
     ) -> impl Future<Output = Result<Claim, Failure>>;
 
-    /// Writes a claim again that the store may have lost, with the token that it had; not where a claim
-    /// with a higher token stands.
+    /// Writes a claim again that the store may have lost, with its previous token, unless the store
+    /// holds a claim with a higher token.
     fn renew_map_leadership(
         &self,
         service: &str,
         claimant: &Claimant<'_>,
     ) -> impl Future<Output = Result<Claim, Failure>>;
 
-    /// Reads which requests were at crashes of servers.
+    /// Reads which requests were present at crashes of servers.
     fn read_crashes(&self) -> impl Future<Output = Result<Vec<StoredCrashes>, Failure>>;
 
-    /// Keeps some of these, and removes others.
+    /// Stores some requests with their crashes, and removes others.
     fn write_crashes(
         &self,
         kept: &[StoredCrashes],
         gone: &[Fingerprint],
     ) -> impl Future<Output = Result<(), Failure>>;
 
-    /// How an engine is asked.
-    fn encode_engine_request(&self, ask: &EngineRequest<'_>) -> (Method, Uri, Bytes);
+    /// Encodes a request to an engine.
+    fn encode_engine_request(&self, request: &EngineRequest<'_>) -> (Method, Uri, Bytes);
 
-    /// An engine's report; `None` if it belongs to no group.
+    /// Decodes an engine's report; `None` if the engine belongs to no group.
     fn engine_report(&self, body: &[u8]) -> Option<EngineReport>;
 
-    /// An engine's counts.
+    /// Decodes an engine's counts.
     fn engine_counts(&self, body: &[u8]) -> Option<Counts>;
 
-    /// The version of a rank's map, and its experts set by set.
+    /// Decodes the version of a rank's map, and its experts set by set.
     fn engine_experts(&self, body: &[u8]) -> Option<(u64, Vec<Vec<u16>>)>;
 
-    /// What the status of an answer to an order means.
+    /// Meaning of the status of an answer to an order.
     fn engine_order_reply(&self, status: u16) -> Reply;
 
-    /// The configuration that a replica of [`Table::Configuration`] holds, if any.
+    /// The configuration in a replica of [`Table::Configuration`], if there is one.
     ///
     /// # Errors
     ///
-    /// It cannot be understood; the one in force stays.
+    /// The configuration is invalid; the one in force stays.
     fn serving(&self, replica: &Replica) -> Result<Option<ServingConfig>, Malformed>;
 
-    /// A row of [`Table::Servers`].
+    /// Decodes a row of [`Table::Servers`].
     ///
     /// # Errors
     ///
-    /// It cannot be understood; the row is passed over.
+    /// The row is invalid, and is ignored.
     fn listed(&self, id: &str, value: &str) -> Result<ListedServer, Malformed>;
 
-    /// Whether an answer of this status promises that the server it came from is not the one that
-    /// was expected.
+    /// Whether this status of an answer guarantees that it came from a server other than the
+    /// expected one.
     fn is_other_server(&self, status: u16) -> bool;
 
-    /// The data centre of a caller that asks which gateways to use; `None` if that is not what is
-    /// asked.
+    /// The data centre of a caller that requests the list of gateways; `None` for any other
+    /// request.
     fn asks_for_endpoints(&self, path: &str, query: &str) -> Option<String>;
 
-    /// The answer to that, with its media type.
+    /// The list of gateways for a caller, with its media type.
     fn endpoints(&self, found: &[SocketAddr], keep: Duration) -> (HeaderValue, Bytes);
 
-    /// Whether a path asks for readiness.
+    /// Whether a path requests readiness.
     fn asks_for_readiness(&self, path: &str) -> bool;
 }
