--- a/crates/direct/src/event_log.rs
+++ b/crates/direct/src/event_log.rs
@@ -1,7 +1,9 @@
-//! Log lines: one for each decision that touches a request or changes what the process believes.
+//! Log lines, one for each decision about a request and for each change of the gateway's state.
+//! Input: steps of requests, and state changes. State: the number of lines in the current second.
+//! Decides which lines about requests are written.
 //!
-//! Their number a second is bounded, so that a flood of failures does not become a flood of
-//! writes; what is dropped is counted, and the count is logged.
+//! Lines about requests are limited per second, so that many failures do not cause as many writes.
+//! Dropped lines are counted, and the count is logged.
 
 use std::cell::Cell;
 use std::fmt::Arguments;
@@ -10,45 +12,50 @@
 use spdlog::info;
 use tokio::time::Instant;
 
-/// Lines a second about requests. A line costs some tens of microseconds of a quarter of a core.
-const MOST_A_SECOND: u32 = 40;
+/// Maximum number of lines per second about requests. A line costs some tens of microseconds, of a
+/// quarter of a core.
+const MAX_REQUEST_LINES_PER_S: u32 = 40;
 
-/// The log of one process.
+/// Log of one process.
 #[derive(Debug)]
 pub struct EventLog {
-    since: Cell<Instant>,
+    window_start: Cell<Instant>,
     written: Cell<u32>,
     dropped: Cell<u32>,
 }
 
 impl Default for EventLog {
     fn default() -> Self {
-        EventLog { since: Cell::new(Instant::now()), written: Cell::new(0), dropped: Cell::new(0) }
+        EventLog {
+            window_start: Cell::new(Instant::now()),
+            written: Cell::new(0),
+            dropped: Cell::new(0),
+        }
     }
 }
 
 impl EventLog {
-    /// A change of what the process believes; always written.
+    /// Logs a change of the gateway's state; always written.
     pub fn state(&self, line: Arguments<'_>) {
         info!("{line}");
     }
 
-    /// A step of a request's way, as JSON behind its id; dropped beyond the bound.
+    /// Logs a step of a request as JSON after its identifier; dropped above the limit.
     pub fn request(&self, id: &str, step: impl Into<RequestStep>) {
-        if self.since.get().elapsed().as_secs() >= 1 {
+        if self.window_start.get().elapsed().as_secs() >= 1 {
             let dropped = self.dropped.replace(0);
             if dropped > 0 {
                 info!("{dropped} lines about requests were dropped");
             }
-            self.since.set(Instant::now());
+            self.window_start.set(Instant::now());
             self.written.set(0);
         }
-        if self.written.get() >= MOST_A_SECOND {
+        if self.written.get() >= MAX_REQUEST_LINES_PER_S {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
         self.written.set(self.written.get() + 1);
-        // A step has only fields that JSON can hold.
+        // A step has only fields that JSON can represent.
         let step = serde_json::to_string(&step.into()).unwrap_or_default();
         info!("request={id} {step}");
     }
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -98,9 +98,9 @@
         let now = self.now();
         let permission = self.with_pool(|pool| pool.take_permit(server, now));
         let Permission::Ask(wanted) = permission else { return self.permitted(permission) };
-        let (incarnation, ramp_up_rate) =
+        let (server_incarnation, ramp_up_rate) =
             self.with_pool(|pool| (pool.incarnation(server), pool.ramp_up_rate(server, now)));
-        let wanted = Wanted::Requests(incarnation, wanted, ramp_up_rate);
+        let wanted = Wanted::Requests(server_incarnation, wanted, ramp_up_rate);
         let grant = permits::ask(self, wanted).await.unwrap_or_default();
         let granted_at = self.now();
         let permission = self.with_pool(|pool| {
--- a/crates/direct/src/gateway/tables.rs
+++ b/crates/direct/src/gateway/tables.rs
@@ -93,11 +93,9 @@
     /// or removed receives no requests, while one that was ready may have reported since that it is
     /// leaving.
     fn takes_precedence(&self, lost: &LostRow, replica: &Replica) -> bool {
-        let (Some(known), Some(stored)) = (&lost.value, replica.get(&lost.key)) else {
-            return true;
-        };
+        let (Some(known), Some(read)) = (&lost.value, replica.get(&lost.key)) else { return true };
         let leaves = |value| self.platform.listed(&lost.key, value).is_ok_and(|row| row.leaving);
-        leaves(known) && !leaves(stored)
+        leaves(known) && !leaves(read)
     }
 
     /// Servers whose lost rows were written again or have expired.
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,21 +1,27 @@
-//! A gateway that sends requests straight to backend servers, with no process of ours beside them.
+//! Gateway that sends requests directly to backend servers, without sidecars on their path.
+//! Input: requests of callers, tables of the platform, gossip of peers. State: one [`Gateway`].
+//! Its tasks carry out what the rules in [`hooktrestle_core::direct`] decide, on one thread.
 //!
-//! One thread, one [`Gateway`] that all tasks share, and tasks that carry out what
-//! [`hooktrestle_core::direct`] decides. The way of a request:
+//! The path of a request:
 //!
-//! 1. `callers` takes connections from `accept` and watches how long they rest.
+//! 1. `callers` accepts connections through `accept` and watches how long they are idle.
 //! 2. `request` reads one request and admits it under the configuration in force.
-//! 3. `entrance` lets a stream in as far as the passes of its service bear it.
-//! 4. `forward` sends it, again where that is allowed, and finds its one answer.
-//! 5. `exchange` is one attempt, over a connection from `connections`.
-//! 6. `relay` passes the answer on as it comes, and takes up a broken stream elsewhere.
+//! 3. `entrance` admits a stream if the passes of its service remain short enough.
+//! 4. `forward` sends it, with retries where these are allowed, and returns its one answer.
+//! 5. `exchange` makes one attempt, over a connection from `connections`.
+//! 6. `relay` relays the answer as it arrives, and resumes a truncated stream at another server.
 //!
-//! Beside it, `follow` keeps the tables of the platform up to date, `peers` exchanges them with
-//! other gateways, `crash_keeper` keeps on the platform under which requests servers crash, `permits`
-//! holds all gateways together to the limits that servers name, `maps` moves experts between the ranks
-//! of groups as demand changes, through [`sidecar`], the process beside each backend server, where there
-//! is one, and `endpoints` tells callers which gateways there are. What the platform is like stands
-//! behind one trait, [`platform::Platform`].
+//! Other tasks keep the state up to date:
+//!
+//! - `follow` follows the tables of the platform, and `peers` gossips them to other gateways.
+//! - `crash_keeper` stores on the platform which requests crash servers.
+//! - `permits` keeps all gateways together within the limits that servers advertise.
+//! - `stalled_groups` polls groups that are stalled, so that their servers are excluded.
+//! - `maps` moves experts between the ranks of groups as demand changes, through [`sidecar`], the
+//!   process beside each backend server, where there is one.
+//! - `endpoints` sends callers the list of gateways.
+//!
+//! The platform is accessed through one trait, [`platform::Platform`].
 
 mod accept;
 mod callers;
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and histograms.
+//! Metrics of a gateway. Input: events that its tasks count or observe. State: counters, gauges and
+//! histograms. Decides the names, help texts and text format that scrapers read.
 
 use hooktrestle_schema::Cause;
 use prometheus_client::metrics::counter::Counter;
@@ -7,58 +8,60 @@
 use prometheus_client::metrics::histogram::exponential_buckets;
 use prometheus_client::registry::Registry;
 
-/// Lower bound of the latency buckets, in milliseconds, their growth and their number: 1 ms to 16 s.
+/// Lower bound of the latency buckets in milliseconds, growth factor and number of buckets: 1 ms to
+/// 16 s.
 const BUCKETS: (f64, f64, u16) = (1.0, 2.0, 15);
 
-/// What a gateway counts.
+/// Counters, gauges and histograms of a gateway.
 pub struct Metrics {
     /// Requests that were admitted.
     pub requests: Counter,
-    /// Answers of backend servers that were passed on whole.
+    /// Answers of backend servers that were relayed completely.
     pub answered: Counter,
     /// Requests refused or failed by the gateway.
     pub refused: Counter,
     /// Streams refused because passes would be too long with them.
     pub streams_over_capacity: Counter,
-    /// Attempts at backend servers that were sent.
+    /// Attempts that were sent to backend servers.
     pub attempts: Counter,
-    /// Streams taken up at another server.
+    /// Streams resumed at another server.
     pub resumed: Counter,
-    /// Repeats that the budget did not cover.
+    /// Retries that the budget did not allow.
     pub retries_denied: Counter,
     /// Connections opened to backend servers.
     pub connections_opened: Counter,
-    /// Requests taken from a server that said nothing while later ones were answered by others.
+    /// Requests given up at a server that did not respond while other servers answered later
+    /// requests.
     pub overtaken: Counter,
-    /// Rows of the list of servers that named none.
+    /// Invalid rows of the server list.
     pub rows_ignored: Counter,
-    /// Tables that the store told older than they were known.
+    /// Tables that the store returned in an older version than the known one.
     pub stale_tables_read: Counter,
-    /// Times that the store came back from an older copy.
+    /// Times that the store was restored from an older copy.
     pub store_eras: Counter,
-    /// Servers found in groups that are too large for their expert maps to be led.
+    /// Servers in groups that are too large for a leader of their expert maps.
     pub ranks_without_leader: Counter,
-    /// Servers that were found to have crashed under requests of this gateway.
+    /// Servers that were detected to have crashed while they ran requests of this gateway.
     pub servers_crashed: Counter,
-    /// Requests that were refused because servers crash under them.
+    /// Requests that were refused because they crash servers.
     pub crashing_refused: Counter,
     /// Requests that were held back because a server crashed as they began there.
     pub crash_suspects_held: Counter,
-    /// Rests that servers asked for.
+    /// Back-offs that servers requested.
     pub back_offs_received: Counter,
-    /// Answers in which servers named a limit.
+    /// Answers in which servers advertised a limit.
     pub limits_advertised: Counter,
-    /// Permits that this gateway gave to others and to itself.
+    /// Permits that this gateway granted to other gateways and to itself.
     pub permits_granted: Counter,
-    /// Times that a request would have gone to a server for which there was no permit.
+    /// Times that no permit was available for a request to a server.
     pub permits_unavailable: Counter,
     /// Gateways that callers may be sent to, this one included.
     pub gateways_alive: Gauge,
-    /// Different requests that are refused because servers crash under them.
+    /// Number of different requests that are refused because they crash servers.
     pub crashing_known: Gauge,
-    /// Milliseconds from a request's head to the head of its answer.
+    /// Milliseconds from the head of a request to the head of its answer.
     pub head_ms: Histogram,
-    /// Milliseconds between two events of a stream: the length of a pass of its group.
+    /// Milliseconds between two events of a stream: the duration of a pass of its group.
     pub event_gap_ms: Histogram,
     registry: Registry,
 }
@@ -135,7 +138,7 @@
 }
 
 impl Metrics {
-    /// The counter of refusals with one cause, where there is one.
+    /// The counter of refusals with one cause, if there is one.
     pub fn of_refusal(&self, cause: Cause) -> Option<&Counter> {
         match cause {
             Cause::CrashesServers => Some(&self.crashing_refused),
@@ -144,7 +147,7 @@
         }
     }
 
-    /// All of them, in the text form that scrapers read.
+    /// All metrics, in the text format that scrapers read.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -1,4 +1,6 @@
-//! The life of a gateway process: listeners, signals, changed settings, a planned stop.
+//! A gateway process: listeners, signals, settings and planned stop. Input: the settings file,
+//! SIGTERM and SIGHUP. State: the gateway, its addresses and its peers. Decides when settings are
+//! read again, and when a process that stops ends.
 
 use std::fs;
 use std::io;
@@ -40,45 +42,45 @@
 use crate::sidecar;
 use crate::stalled_groups;
 
-/// Connections that wait to be accepted: a flood of callers is not turned away by the kernel.
+/// Connections that wait to be accepted, so that the kernel does not refuse callers in a burst.
 const BACKLOG: u32 = 1_024;
 
-/// Time between two looks at the settings file, and at idle connections.
-const HOUSEKEEPING: Duration = Duration::from_secs(1);
+/// Interval between two checks of the settings file and of idle connections.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two looks at what is left while the process stops.
-const STOP_TICK: Duration = Duration::from_millis(50);
+/// Interval between two checks of the remaining requests while the process stops.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest planned stop: some callers keep an answer three times as long as they may, and the
-/// platform asks each second whether this one is ready.
-const LEAST_STOP: Millis = Millis(3_300);
+/// Shortest planned stop: some callers use a list of gateways three times as long as they may, and
+/// the platform polls readiness once per second.
+const MIN_STOP: Millis = Millis(3_300);
 
-/// Time without a new request after which a process that stops is not needed any more.
-const QUIET: Millis = Millis(1_000);
+/// Time without a new request after which a process that stops is no longer needed.
+const QUIET_PERIOD: Millis = Millis(1_000);
 
-/// Longest time in which others are told of a stop: the store may not answer, and callers are due
-/// their answers meanwhile.
-const TELL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait until others were notified of a stop: the store may not answer, while requests in
+/// flight have to be finished.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How much before the longest stop the process ends by itself.
+/// How long before the end of the stop time the process ends by itself.
 const STOP_MARGIN: Millis = Millis(500);
 
-/// A gateway whose tasks run.
+/// A gateway whose tasks are running.
 pub struct Started<P> {
-    /// What its tasks share.
+    /// State that its tasks share.
     pub gateway: Rc<Gateway<P>>,
-    /// Where callers connect.
+    /// Address for requests of callers.
     pub callers_at: SocketAddr,
-    /// Where callers ask which gateways to use.
+    /// Address at which callers request the list of gateways.
     pub endpoints_at: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Address for readiness checks.
     pub readiness_at: SocketAddr,
-    /// Where other gateways connect.
+    /// Address for other gateways.
     pub peers_at: SocketAddr,
     peers: Rc<Peers>,
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until the process receives SIGTERM.
 ///
 /// # Errors
 ///
@@ -87,12 +89,12 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hang_up = signal(SignalKind::hangup())?;
     let started = start(settings, platform)?;
-    keep_house(&started, file, &mut hang_up, &mut terminate).await;
+    run_housekeeping(&started, file, &mut hang_up, &mut terminate).await;
     stop(&started, Millis(settings.instance.stop_within_s * 1_000)).await;
     Ok(())
 }
 
-/// Starts a gateway's tasks on the present local set.
+/// Starts the tasks of a gateway on the current local set.
 ///
 /// # Errors
 ///
@@ -101,7 +103,7 @@
     start_with_clock(ProcessClock::default(), settings, platform)
 }
 
-/// The same by a clock of the caller's.
+/// [`start`] with a given clock.
 ///
 /// # Errors
 ///
@@ -146,13 +148,13 @@
     }
     tokio::task::spawn_local(callers::serve(gateway.clone(), callers_listener));
     tokio::task::spawn_local(peers::serve(gateway.clone(), peers_listener));
-    spawn_upkeep(&started);
+    spawn_background_tasks(&started);
     gateway.event_log.state(format_args!("{} started", settings.instance.name));
     Ok(started)
 }
 
-/// Starts what keeps the gateway's knowledge up to date.
-fn spawn_upkeep<P: Platform>(started: &Started<P>) {
+/// Starts the background tasks that keep the gateway's state up to date.
+fn spawn_background_tasks<P: Platform>(started: &Started<P>) {
     let gateway = &started.gateway;
     for table in [Table::Configuration, Table::Servers] {
         tokio::task::spawn_local(follow::follow(gateway.clone(), table));
@@ -167,26 +169,26 @@
     tokio::task::spawn_local(async move { peers.run(exchanger).await });
 }
 
-/// Looks after settings and idle connections until the process is told to stop.
-async fn keep_house<P: Platform>(
+/// Checks settings and idle connections until the process receives SIGTERM.
+async fn run_housekeeping<P: Platform>(
     started: &Started<P>,
     file: PathBuf,
     hang_up: &mut Signal,
     terminate: &mut Signal,
 ) {
-    let mut seen = modified(&file);
+    let mut last_modified = modified(&file);
     loop {
-        let mut told = false;
+        let mut reload_requested = false;
         tokio::select! {
             _ = terminate.recv() => return,
-            _ = hang_up.recv() => told = true,
-            () = time::sleep(HOUSEKEEPING) => {}
+            _ = hang_up.recv() => reload_requested = true,
+            () = time::sleep(HOUSEKEEPING_INTERVAL) => {}
         }
         started.gateway.connections.sweep();
         started.gateway.sidecars.sweep();
         let now = modified(&file);
-        if told || now != seen {
-            seen = now;
+        if reload_requested || now != last_modified {
+            last_modified = now;
             reload(&started.gateway, &started.peers, &file);
         }
     }
@@ -197,37 +199,38 @@
         Ok(settings) => {
             gateway.set_budget(budget_config(&settings));
             peers.set_seeds(settings::addresses(&settings.platform.seeds));
-            gateway.event_log.state(format_args!("settings read again"));
+            gateway.event_log.state(format_args!("settings reloaded"));
         }
         Err(error) => {
-            gateway.event_log.state(format_args!("settings stay as they were: {error}"));
+            gateway.event_log.state(format_args!("settings not reloaded: {error}"));
         }
     }
 }
 
-/// Finishes what is in flight: callers are sent elsewhere first, then the process ends once
-/// nothing comes any more.
+/// Finishes the requests in flight. Callers are sent to other gateways first; the process ends once
+/// no more requests arrive.
 pub async fn stop<P: Platform>(started: &Started<P>, within: Millis) {
     let Started { gateway, peers, .. } = started;
     let began = gateway.now();
     gateway.begin_stop(within);
-    gateway.event_log.state(format_args!("stopping, {} in flight", gateway.in_flight()));
+    gateway.event_log.state(format_args!("stopping, {} requests in flight", gateway.in_flight()));
     let name = gateway.with_members(|members| members.own().name.clone());
-    let unlisted = gateway.platform.write_member(&name, None);
+    let row_removed = gateway.platform.write_member(&name, None);
     let announced = peers.announce(gateway);
-    let told = async { tokio::join!(announced, unlisted) };
-    // Who is not told now finds out when heartbeats stop.
-    drop(time::timeout(TELL_TIMEOUT, told).await);
+    let notified = async { tokio::join!(announced, row_removed) };
+    // Gateways that are not notified detect the stop when heartbeats are missing.
+    drop(time::timeout(ANNOUNCE_TIMEOUT, notified).await);
     loop {
         let now = gateway.now();
         let spent = now.since(began);
-        let quiet = gateway.in_flight() == 0 && now.since(gateway.last_request_at()) >= QUIET;
-        if (quiet && spent >= LEAST_STOP) || spent + STOP_MARGIN >= within {
+        let quiet =
+            gateway.in_flight() == 0 && now.since(gateway.last_request_at()) >= QUIET_PERIOD;
+        if (quiet && spent >= MIN_STOP) || spent + STOP_MARGIN >= within {
             break;
         }
-        time::sleep(STOP_TICK).await;
+        time::sleep(STOP_POLL_INTERVAL).await;
     }
-    gateway.event_log.state(format_args!("stopped, {} in flight", gateway.in_flight()));
+    gateway.event_log.state(format_args!("stopped, {} requests in flight", gateway.in_flight()));
 }
 
 fn modified(file: &Path) -> Option<SystemTime> {
@@ -247,8 +250,8 @@
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Member {
         name: settings.instance.name.clone(),
-        // Only has to rise from one process to the next; should the time of day have gone back,
-        // others tell of the earlier process and it is outlived.
+        // Only has to increase from one process to the next. If the time of day was set back, peers
+        // report the earlier process and this one chooses a higher number.
         incarnation: since_epoch.map_or(0, |since| since.as_millis() as u64),
         heartbeat: 0,
         callers_at,
@@ -261,10 +264,10 @@
     }
 }
 
-/// Memory of this instance.
+/// Memory of this machine.
 fn memory_bytes() -> u64 {
-    let told = rustix::system::sysinfo();
-    (told.totalram as u64).saturating_mul(u64::from(told.mem_unit))
+    let info = rustix::system::sysinfo();
+    (info.totalram as u64).saturating_mul(u64::from(info.mem_unit))
 }
 
 fn bind(address: &str) -> Result<TcpListener> {
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -1,7 +1,8 @@
-//! The gateway's settings: an INI file, checked against the schema.
+//! Settings of a gateway or sidecar: an INI file, checked against the schema. Input: the path or
+//! text of a settings file. State: none. Decides whether the settings are valid, and lists every
+//! fault with its remedy.
 //!
-//! Sections and keys that are not known are passed over: the platform's template may be newer than
-//! the program.
+//! Unknown sections and keys are ignored: the platform's template may be newer than the program.
 
 use std::fmt;
 use std::fs;
@@ -15,7 +16,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// What is wrong with a settings file, one line each, with the remedy.
+/// Faults of a settings file with their remedies, one per line.
 #[derive(Debug)]
 pub struct SettingsError {
     file: String,
@@ -34,13 +35,13 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What is wrong with a file, one line each.
+/// Faults of a file, one line each.
 type Faults = Vec<String>;
 
 /// Values by section, or by field.
 type Values = Map<String, Value>;
 
-/// Sections and the schema's definitions of them.
+/// Sections and their definitions in the schema.
 const SECTIONS: [(&str, &str); 4] = [
     ("instance", "DirectInstanceSettings"),
     ("listen", "DirectListenSettings"),
@@ -48,20 +49,20 @@
     ("repeats", "DirectRepeatSettings"),
 ];
 
-/// The same of a process beside a backend server.
+/// Sections of a sidecar's settings and their definitions in the schema.
 const SIDECAR_SECTIONS: [(&str, &str); 1] = [("sidecar", "SidecarRoleSettings")];
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
 ///
-/// Every fault in the file, with what is allowed there.
+/// Every fault in the file, with the values that are allowed.
 pub fn load(path: &Path) -> Result<DirectSettings, SettingsError> {
     let (file, text) = read(path)?;
     parse(&file, &text)
 }
 
-/// Checks the text of a settings file; `file` names it in errors.
+/// Checks the text of a settings file; `file` is its name in errors.
 ///
 /// # Errors
 ///
@@ -78,7 +79,7 @@
     if faults.is_empty() { Ok(settings) } else { Err(failed(faults)) }
 }
 
-/// Reads and checks the settings file of a process beside a backend server.
+/// Reads and checks the settings file of a sidecar.
 ///
 /// # Errors
 ///
@@ -87,7 +88,7 @@
     let (file, text) = read(path)?;
     let failed = |faults| SettingsError { file: file.clone(), faults };
     let (mut values, mut faults) = read_sections(&text, &SIDECAR_SECTIONS).map_err(failed)?;
-    // A section that is missing is among the faults.
+    // A missing section is one of the faults.
     let values = values.remove("sidecar").unwrap_or_default();
     faults.extend(sidecar_address_faults(&values));
     if !faults.is_empty() {
@@ -96,7 +97,7 @@
     serde_json::from_value(values).map_err(|error| failed(vec![error.to_string()]))
 }
 
-/// The addresses in a comma-separated list; those that are none are passed over.
+/// The addresses in a comma-separated list; entries that are no addresses are ignored.
 pub fn addresses(list: &str) -> Vec<SocketAddr> {
     list.split(',').filter_map(|text| text.trim().parse().ok()).collect()
 }
@@ -110,7 +111,7 @@
     }
 }
 
-/// The values by section, and what is wrong with them; or why there are no sections at all.
+/// The values by section, and their faults; or why no sections could be read.
 fn read_sections(text: &str, sections: &[(&str, &str)]) -> Result<(Values, Faults), Faults> {
     let ini = Ini::load_from_str(text)
         .map_err(|error| vec![format!("line {}: {}: correct the line", error.line, error.msg)])?;
@@ -142,9 +143,9 @@
         }
     }
     if let Err(errors) = range::check(definition, &values) {
-        let told = faults.join("\n");
+        let reported = faults.join("\n");
         let new = errors.iter().map(|error| (error, format!("[{section}] {}:", error.field())));
-        let new = new.filter(|(_, place)| !told.contains(place));
+        let new = new.filter(|(_, place)| !reported.contains(place));
         faults.extend(new.map(|(error, _)| format!("[{section}] {error}")));
     }
     values
