--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -1,7 +1,6 @@
-//! Client for reports, counts and orders of a backend server's engine, beside the requests that it
-//! serves. Input: encoded requests, and the path to take. State: pooled connections, and sidecars
-//! and relays that did not answer. Decides whether a request goes through the sidecar, through
-//! another gateway or directly, and when it is given up.
+//! Client for reports, counts and orders of the engines of backend servers.
+//! It keeps pooled connections, and skips sidecars and relays that did not answer for a while.
+//! It decides whether a request goes through a sidecar, through a gateway or directly.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
--- a/crates/direct/src/event_log.rs
+++ b/crates/direct/src/event_log.rs
@@ -1,6 +1,6 @@
-//! Log lines, one for each decision about a request and for each change of the gateway's state.
-//! Input: steps of requests, and state changes. State: the number of lines in the current second.
-//! Decides which lines about requests are written.
+//! Log lines, one for each decision about a request and each change of the gateway's state.
+//! Input are steps of requests and state changes; the lines of the current second are counted.
+//! The log decides which lines about requests are written.
 //!
 //! Lines about requests are limited per second, so that many failures do not cause as many writes.
 //! Dropped lines are counted, and the count is logged.
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -1,6 +1,6 @@
-//! State that all tasks of one gateway share. Input: what its tasks receive from callers, backend
-//! servers, peers and the platform. State: pool, members, tables, budgets, permits. Decides whether
-//! this gateway is ready, which requests it accepts, and whether a retry is allowed.
+//! State that all tasks of one gateway share: pool, members, tables, budgets and permits.
+//! Input is what the tasks receive from callers, backend servers, peers and the platform.
+//! It decides whether the gateway is ready, which requests it accepts, and if retries are left.
 //!
 //! One thread runs all tasks, so cells are sufficient: nothing is borrowed across an await.
 
--- a/crates/direct/src/gateway/by_service.rs
+++ b/crates/direct/src/gateway/by_service.rs
@@ -1,5 +1,6 @@
-//! Map from services to values, each made on first use. Input: the name of a service. State: the
-//! values. Decides whether a service needs a new value.
+//! Map from the names of services to values.
+//! Input is the name of a service; the map keeps one value for each service.
+//! It makes a value when a service is used for the first time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/direct/src/gateway/configurations.rs
+++ b/crates/direct/src/gateway/configurations.rs
@@ -1,6 +1,6 @@
-//! The configuration in force. Input: the configuration table, and configurations that peers
-//! retained. State: the configuration in force and, if the store has an older one, its table.
-//! Decides whether a configuration replaces the one in force.
+//! The configuration in force, from the configuration table or retained by a peer.
+//! Its table is retained if the store has an older one.
+//! This module decides whether a configuration replaces the one in force.
 //!
 //! A store that was restored from an older copy may hold an older configuration than the one in
 //! force, until the operator writes again. The newer one was acknowledged, so it stays in force and
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -1,7 +1,6 @@
-//! Detection of servers that crash, and of the requests that were running there. Input: truncated
-//! answers, refused connections, the server list and crash reports of peers. State: truncated
-//! answers by server, trials, and all known crashes. Decides which servers have crashed, and which
-//! requests are refused, held back or sent one at a time.
+//! Detection of crashed servers, from truncated answers, refused connections and the server list.
+//! It keeps truncated answers by server, trials, and all crashes known here or from peers.
+//! It decides which servers crashed, and which requests are refused, held back or on trial.
 //!
 //! A truncated answer may have been damaged by the network, and a missing one may arrive later. So
 //! a server counts as crashed only if it refuses a connection right afterwards, or if the platform
@@ -114,8 +113,8 @@
 }
 
 impl<P: Platform> Gateway<P> {
-    /// Why a request is not sent to any server and for how much longer, if that is so: it crashes
-    /// servers, or a server crashed recently just as it began there.
+    /// Why a request is not sent to any server and for how much longer, if that is so: servers
+    /// crashed while running it, or one did just as the request began there.
     pub fn crash_refusal(&self, fingerprint: Fingerprint) -> Option<(Cause, Millis)> {
         let now = self.now();
         let crashes = self.crashes.borrow();
@@ -318,7 +317,9 @@
         let mut detection = self.crash_detection.borrow_mut();
         for fingerprint in refused.difference(&detection.refusals_logged) {
             let number = fingerprint.0;
-            self.event_log.state(format_args!("request {number} is refused: it crashes servers"));
+            self.event_log.state(format_args!(
+                "request {number} is refused: servers crashed while running it"
+            ));
         }
         for fingerprint in detection.refusals_logged.difference(&refused) {
             self.event_log.state(format_args!("request {} is no longer refused", fingerprint.0));
--- a/crates/direct/src/gateway/eras.rs
+++ b/crates/direct/src/gateway/eras.rs
@@ -1,6 +1,6 @@
-//! Eras of the platform's store. Input: the eras that the store and other gateways report. State:
-//! the latest era, and when it began. Decides whether a new era has begun, and when this gateway
-//! writes its rows again.
+//! Eras of the platform's store, as the store and other gateways report them.
+//! The latest era and the time of its beginning are kept.
+//! This module decides whether an era is new, and when this gateway writes its rows again.
 //!
 //! A new era begins when the store is restored from an older copy. The store has then lost what was
 //! written since that copy.
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -1,7 +1,6 @@
-//! Advertised limits: how many requests backend servers accept from all gateways together. Input:
-//! the heads of their answers, limits from other gateways, and granted permits. State: limits and
-//! permits are recorded in the pool. Decides whether a request may be sent to a server, and whether
-//! a change of a limit is urgent.
+//! Limits that backend servers advertise for the requests of all gateways together.
+//! Input are heads of answers, limits from peers, and granted permits; the pool keeps them.
+//! This module decides whether a request may be sent, and whether a changed limit is urgent.
 
 use std::rc::Rc;
 
--- a/crates/direct/src/gateway/server_notices.rs
+++ b/crates/direct/src/gateway/server_notices.rs
@@ -1,6 +1,6 @@
-//! Notices that backend servers send in their answers: back-off and leaving. Input: the heads of
-//! their answers. State: the notices are recorded in the pool. Decides which servers are sent no
-//! requests, and when a refused caller is to retry.
+//! Notices that backend servers send in their answers: back-off and leaving.
+//! Input are the heads of answers; the notices are recorded in the pool.
+//! This module decides which servers get no requests, and when a refused caller is to retry.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_core::direct::outage;
--- a/crates/direct/src/gateway/slow_servers.rs
+++ b/crates/direct/src/gateway/slow_servers.rs
@@ -1,7 +1,6 @@
-//! Slow-server reports, and urgent gossip. Input: reports of the leaders of expert maps, and
-//! requests for urgent gossip. State: the newest reports, and the urgent gossip rounds that are
-//! left. Decides which reports are new, and whether and with which gateways the next gossip round
-//! takes place at once.
+//! Slow-server reports of the leaders of expert maps, and urgent gossip.
+//! The newest reports and the urgent gossip rounds that are left are kept.
+//! This module decides which reports are new, and which gateways get urgent gossip.
 
 use hooktrestle_core::direct::slow_servers::SlowServerReport;
 use hooktrestle_core::direct::slow_servers::SlowServerReports;
--- a/crates/direct/src/gateway/tables.rs
+++ b/crates/direct/src/gateway/tables.rs
@@ -1,6 +1,6 @@
-//! Updates of the platform's tables. Input: updates from the store and from other gateways. State:
-//! a replica of each table, and rows that the store has lost. Decides which changes of a table take
-//! effect, and which gateways receive them at once.
+//! Updates of the platform's tables, from the store and from other gateways.
+//! A replica of each table is kept, and the rows that the store has lost.
+//! This module decides which changes take effect, and which gateways receive them at once.
 
 use hooktrestle_core::direct::replica::LostRow;
 use hooktrestle_core::direct::replica::Replica;
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -14,7 +14,7 @@
 //! Other tasks keep the state up to date:
 //!
 //! - `follow` follows the tables of the platform, and `peers` gossips them to other gateways.
-//! - `crash_keeper` stores on the platform which requests crash servers.
+//! - `crash_keeper` stores crashes of servers on the platform, with the requests that ran there.
 //! - `permits` keeps all gateways together within the limits that servers advertise.
 //! - `stalled_groups` polls groups that are stalled, so that their servers are excluded.
 //! - `maps` moves experts between the ranks of groups as demand changes, through [`sidecar`], the
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -1,5 +1,6 @@
-//! Metrics of a gateway. Input: events that its tasks count or observe. State: counters, gauges and
-//! histograms. Decides the names, help texts and text format that scrapers read.
+//! Metrics of a gateway, in counters, gauges and histograms.
+//! Input are the events that its tasks count or observe.
+//! This module decides the names, help texts and text format that scrapers read.
 
 use hooktrestle_schema::Cause;
 use prometheus_client::metrics::counter::Counter;
@@ -43,7 +44,7 @@
     pub ranks_without_leader: Counter,
     /// Servers that were detected to have crashed while they ran requests of this gateway.
     pub servers_crashed: Counter,
-    /// Requests that were refused because they crash servers.
+    /// Requests that were refused because servers crashed while running them.
     pub crashing_refused: Counter,
     /// Requests that were held back because a server crashed as they began there.
     pub crash_suspects_held: Counter,
@@ -57,7 +58,8 @@
     pub permits_unavailable: Counter,
     /// Gateways that callers may be sent to, this one included.
     pub gateways_alive: Gauge,
-    /// Number of different requests that are refused because they crash servers.
+    /// Number of different requests that are refused because servers crashed while running
+    /// them.
     pub crashing_known: Gauge,
     /// Milliseconds from the head of a request to the head of its answer.
     pub head_ms: Histogram,
--- a/crates/direct/src/platform.rs
+++ b/crates/direct/src/platform.rs
@@ -1,6 +1,6 @@
-//! Interface to the platform that a gateway runs on. Input: calls of the gateway's tasks. State:
-//! held by the implementation. An implementation decides how tables, claims, crashes, engine
-//! requests and headers are represented.
+//! Interface to the platform that a gateway runs on.
+//! Input are calls of the gateway's tasks; the state is held by the implementation.
+//! An implementation decides how tables, claims, crashes and engine requests are represented.
 
 use std::fmt;
 use std::future::Future;
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -1,6 +1,6 @@
-//! A gateway process: listeners, signals, settings and planned stop. Input: the settings file,
-//! SIGTERM and SIGHUP. State: the gateway, its addresses and its peers. Decides when settings are
-//! read again, and when a process that stops ends.
+//! A gateway process: listeners, signals, settings and planned stop.
+//! Input are the settings file, SIGTERM and SIGHUP; it keeps the gateway and its addresses.
+//! It decides when settings are read again, and when a process that stops ends.
 
 use std::fs;
 use std::io;
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of a gateway or sidecar: an INI file, checked against the schema. Input: the path or
-//! text of a settings file. State: none. Decides whether the settings are valid, and lists every
-//! fault with its remedy.
+//! Settings of a gateway or sidecar: an INI file that is checked against the schema.
+//! Input is the path or the text of the file; no state is kept.
+//! This module decides whether the settings are valid, and lists each fault with its remedy.
 //!
 //! Unknown sections and keys are ignored: the platform's template may be newer than the program.
 
--- a/crates/direct/src/stalled_groups.rs
+++ b/crates/direct/src/stalled_groups.rs
@@ -1,6 +1,6 @@
-//! Polling of stalled groups. Input: the first refusal of a server of a group, and reports of
-//! engines through their sidecars. State: stalled servers are marked in the pool. Decides which
-//! servers are excluded from the choice because their group is stalled.
+//! Polling of stalled groups, which begins at the first refusal of a server of a group.
+//! Input are reports of engines through their sidecars; the pool keeps which servers are stalled.
+//! This module decides which servers are excluded because their group is stalled.
 //!
 //! If one rank is lost, all ranks of its group refuse. Each gateway would detect that rank by rank,
 //! at the price of one retry each. So at the first such refusal a gateway asks the sidecar of each
