--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -77,7 +77,7 @@
     /// back-off or advertised a limit, and the permit may have expired.
     fn may_send(&self, now: Millis) -> bool {
         let AttemptGuard { gateway, server, permit, .. } = self;
-        let has_permit = permit.is_some_and(|permit| permit.is_good(now));
+        let has_permit = permit.is_some_and(|permit| permit.is_valid(now));
         gateway.with_pool(|pool| {
             pool.accepts(*server, now) && (pool.limit(*server).is_none() || has_permit)
         })
@@ -159,18 +159,18 @@
     if !is_answer_to(request, names, &head, reused) {
         guard.end(AttemptOutcome::Lost);
         let step = OtherAnswerStep { server_number: guard.server().number() };
-        gateway.journal.request(request.id_text(), step);
+        gateway.event_log.request(request.id_text(), step);
         return Err(Fate::MayHaveRun);
     }
-    gateway.note_lives(guard.server(), sent_at);
+    gateway.note_server_answered(guard.server(), sent_at);
     record_server_load(gateway, guard.server(), &head);
     if is_refusal(gateway, &head) {
         let outcome =
             if asks_back_off { AttemptOutcome::Full } else { refusal_outcome(gateway, &head) };
         guard.end(outcome);
         if outcome == AttemptOutcome::Stalled {
-            gateway.stalled.notify_one();
-            gateway.note_out(&request.service);
+            gateway.stall_detected.notify_one();
+            gateway.note_outage_began(&request.service);
         }
         drain(gateway, body, connection);
         return Err(Fate::NotRun);
@@ -181,7 +181,7 @@
     }
     let failed = head.status.is_server_error();
     guard.end(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered });
-    gateway.note_taken(&request.service);
+    gateway.note_outage_ended(&request.service);
     gateway.with_pool(|pool| pool.record_answer(guard.server()));
     let now = gateway.now();
     gateway.with_heads(&request.service, |heads| heads.began(guard.server(), sent_at, now));
@@ -205,7 +205,7 @@
         match next {
             overtaken::Next::Wait(until) => gateway.clock.sleep_until(until).await,
             // Answers that arrived while this process was suspended may not have been read yet.
-            overtaken::Next::GiveUp if gateway.stood_still(READ_BACKLOG_GRACE).is_some() => {
+            overtaken::Next::GiveUp if gateway.recent_suspension(READ_BACKLOG_GRACE).is_some() => {
                 time::sleep(Duration::from(READ_BACKLOG_GRACE)).await;
             }
             overtaken::Next::GiveUp => return,
@@ -289,7 +289,7 @@
             answered = connection.sender().try_send_request(message) => answered,
             () = overtaken(gateway, request, server, sent_at) => {
                 gateway.metrics.overtaken.inc();
-                gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
+                gateway.note_truncated(server, request.fingerprint, Progress::Sent(sent_at)).await;
                 return Err(NoAnswer { fate: Fate::MayHaveRun, outcome: AttemptOutcome::Overtaken });
             }
         };
@@ -301,7 +301,9 @@
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 if !unsent {
-                    gateway.note_broken(server, request.fingerprint, Progress::Sent(sent_at)).await;
+                    gateway
+                        .note_truncated(server, request.fingerprint, Progress::Sent(sent_at))
+                        .await;
                 }
                 if unsent && !fresh {
                     // The server had closed the idle connection; nothing was written to it.
@@ -315,7 +317,7 @@
                     unsent,
                     error,
                 };
-                gateway.journal.request(request.id_text(), step);
+                gateway.event_log.request(request.id_text(), step);
                 return Err(NoAnswer::of_connection(unsent));
             }
         }
@@ -327,7 +329,7 @@
     server: Key<Server>,
 ) -> Result<Connection, NoAnswer> {
     let address = gateway.with_pool(|pool| pool.server(server).listed.address);
-    gateway.metrics.dialled.inc();
+    gateway.metrics.connections_opened.inc();
     Connection::open(server, address).await.map_err(|_| NoAnswer::of_connection(true))
 }
 
@@ -373,9 +375,9 @@
     server: Key<Server>,
     head: &Parts,
 ) -> bool {
-    let Some(asked) = gateway.note_asked(server, head) else { return false };
+    let Some(asked) = gateway.note_server_notices(server, head) else { return false };
     let step = RestStep { server_number: server.number(), asked: asked.to_owned() };
-    gateway.journal.request(request.id_text(), step);
+    gateway.event_log.request(request.id_text(), step);
     true
 }
 
@@ -390,7 +392,7 @@
     let lifts = head.status.is_success();
     if let Some(named) = gateway.note_limit(server, head, sent_at, lifts) {
         let step = LimitStep { server_number: server.number(), named: named.to_owned() };
-        gateway.journal.request(request.id_text(), step);
+        gateway.event_log.request(request.id_text(), step);
     }
 }
 
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -18,9 +18,9 @@
 use http_body_util::BodyExt;
 use http_body_util::Limited;
 
-use crate::exchange;
 use crate::exchange::Answer;
 use crate::exchange::AttemptGuard;
+use crate::exchange;
 use crate::gateway::Gateway;
 use crate::gateway::crashes::Progress;
 use crate::platform::Platform;
@@ -80,13 +80,15 @@
         if gateway.now() >= request.deadline {
             return ForwardOutcome::Refused(attempts.refuse(Cause::DeadlinePassed));
         }
-        if let Some((cause, left)) = gateway.turns_away(request.fingerprint) {
+        if let Some((cause, left)) = gateway.crash_refusal(request.fingerprint) {
             return ForwardOutcome::Refused(attempts.refuse_with_retry_after(cause, left));
         }
         let Some(guard) = next_attempt(gateway, request, attempts).await else {
             // A back-off or an advertised limit is no outage, because its end is known.
-            if attempts.tried().is_empty() && gateway.all_bound(&request.service).is_none() {
-                gateway.note_out(&request.service);
+            if attempts.tried().is_empty()
+                && gateway.all_unavailable_for(&request.service).is_none()
+            {
+                gateway.note_outage_began(&request.service);
             }
             return match failure {
                 Some((head, body)) => ForwardOutcome::Whole(head, body),
@@ -103,10 +105,10 @@
             }
             AttemptResult::Unanswered(fate) => fate,
         };
-        let next = attempts.after_failure(server, fate, || gateway.take_repeat(&request.service));
+        let next = attempts.after_failure(server, fate, || gateway.take_retry(&request.service));
         let (server_number, sent_number) = (server.number(), attempts.sent());
         let step = AttemptStep { server_number, sent_number, fate, next: next.step() };
-        gateway.journal.request(request.id_text(), step);
+        gateway.event_log.request(request.id_text(), step);
         match (next, failure.take()) {
             (Next::Retry, last) => failure = last,
             (_, Some((head, body))) => return ForwardOutcome::Whole(head, body),
@@ -125,7 +127,7 @@
     refusal: Refusal,
 ) -> ForwardOutcome<P> {
     let may_retry = refusal.retry_after.is_some();
-    match gateway.come_back(&request.service).filter(|_| may_retry) {
+    match gateway.outage_retry_after(&request.service).filter(|_| may_retry) {
         Some(after) => ForwardOutcome::Refused(refusal.retry_after(after)),
         None => ForwardOutcome::Refused(refusal),
     }
@@ -185,7 +187,7 @@
         // A time in the past means that another request has asked for permits and waits for the
         // reply.
         let until = if next > now { next } else { give_up_at };
-        let _ = gateway.clock.timeout_at(until, gateway.permits_told.notified()).await;
+        let _ = gateway.clock.timeout_at(until, gateway.permit_reply_received.notified()).await;
     }
 }
 
@@ -200,14 +202,14 @@
         Ok(collected) => {
             gateway.connections.put_back(connection);
             if head.status.is_success() {
-                gateway.note_well(request.fingerprint);
+                gateway.note_completed(request.fingerprint);
             }
             Some((head, collected.to_bytes()))
         }
         Err(_) => {
             guard.end(AttemptOutcome::Lost);
             let progress = Progress::Running(began_at);
-            gateway.note_broken(guard.server(), request.fingerprint, progress).await;
+            gateway.note_truncated(guard.server(), request.fingerprint, progress).await;
             None
         }
     }
--- a/crates/direct/src/gateway/by_service.rs
+++ b/crates/direct/src/gateway/by_service.rs
@@ -1,4 +1,6 @@
-//! A value for each service, made when it is first asked for.
+//! Map from the names of services to values.
+//! Input is the name of a service; the map keeps one value for each service.
+//! It makes a value when a service is used for the first time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,7 +17,7 @@
 }
 
 impl<T> ByService<T> {
-    /// Does something with the value of a service, which is made if there is none.
+    /// Calls `act` with the value of a service, which is made if there is none.
     pub(super) fn with<R>(
         &self,
         service: &str,
@@ -30,7 +32,7 @@
         act(values.entry(service.to_owned()).or_insert_with(make))
     }
 
-    /// Does something with all values.
+    /// Calls `act` with each value.
     pub(super) fn for_each(&self, act: impl FnMut(&mut T)) {
         self.values.borrow_mut().values_mut().for_each(act);
     }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -27,12 +27,12 @@
 use http::header;
 use http_body_util::BodyExt;
 use hyper::body::Frame;
-use tokio::time;
 use tokio::time::Instant;
+use tokio::time;
 
 use crate::admission_queue::AdmittedStream;
-use crate::exchange;
 use crate::exchange::Answer;
+use crate::exchange;
 use crate::forward;
 use crate::gateway::Gateway;
 use crate::gateway::crashes::Progress;
@@ -116,7 +116,7 @@
                         .as_mut()
                         .and_then(AdmittedStream::record_event);
                     if let Some(pause) = pause {
-                        relay.gateway.metrics.pause_ms.observe(pause.0 as f64);
+                        relay.gateway.metrics.event_gap_ms.observe(pause.0 as f64);
                     }
                     return Some((Ok(Frame::data(Bytes::from(complete))), relay));
                 }
@@ -128,10 +128,10 @@
             item @ (SourceItem::Truncated | SourceItem::IdleTimeout) => {
                 record_truncation(&relay, &item).await;
                 if !resume(&mut relay, LeaveReason::BrokenOff).await {
-                    if relay.gateway.turns_away(relay.request.fingerprint).is_some() {
+                    if relay.gateway.crash_refusal(relay.request.fingerprint).is_some() {
                         // The caller retries at once at any gateway, so the crash is reported to
                         // the other gateways first.
-                        relay.gateway.until_told().await;
+                        relay.gateway.await_urgent_gossip().await;
                     }
                     return Some((Err(TruncatedStream), relay));
                 }
@@ -150,7 +150,7 @@
     if let Some(source) = relay.source.take() {
         source.recycle(&relay.gateway);
     }
-    relay.gateway.note_well(relay.request.fingerprint);
+    relay.gateway.note_completed(relay.request.fingerprint);
     relay.gateway.metrics.answered.inc();
     Some(Bytes::from(remaining)).filter(|remaining| !remaining.is_empty())
 }
@@ -163,7 +163,7 @@
     let is_starting = !relay.has_body_bytes && matches!(item, SourceItem::Truncated);
     let progress = if is_starting { Progress::Starting } else { Progress::Running };
     let (server, progress) = (source.guard.server(), progress(source.began_at));
-    relay.gateway.note_broken(server, relay.request.fingerprint, progress).await;
+    relay.gateway.note_truncated(server, relay.request.fingerprint, progress).await;
 }
 
 /// The next item of the source; `None` if the stream has ended.
@@ -205,7 +205,7 @@
         pool.is_slow(server, now)
             && pool.has_alternative(&request.service, server, attempts.tried(), now)
     });
-    has_better_server && gateway.covers_repeat(&request.service)
+    has_better_server && gateway.budget_has_retry(&request.service)
 }
 
 /// Drops the source and returns its server; `None` if there is none.
@@ -257,8 +257,8 @@
     reason: LeaveReason,
 ) -> bool {
     let Relay { gateway, request, attempts, events, resumable, .. } = relay;
-    let is_allowed = *resumable && gateway.turns_away(request.fingerprint).is_none();
-    let covered = || is_allowed && gateway.take_repeat(&request.service);
+    let is_allowed = *resumable && gateway.crash_refusal(request.fingerprint).is_none();
+    let covered = || is_allowed && gateway.take_retry(&request.service);
     let next = attempts.after_failure(server, fate, covered);
     let step = LeaveStep {
         fingerprint_number: request.fingerprint.0,
@@ -267,6 +267,6 @@
         after_event_number: events.last_id(),
         next: next.step(),
     };
-    gateway.journal.request(request.id_text(), step);
+    gateway.event_log.request(request.id_text(), step);
     next == Next::Retry
 }
