--- a/crates/direct/src/packing.rs
+++ b/crates/direct/src/compression.rs
@@ -12,11 +12,11 @@
 pub(crate) const ENCODING: &str = "deflate";
 
 /// Size from which a body is packed, in bytes: one that is smaller fits into a packet as it is.
-pub(crate) const PACKED_FROM: usize = 1_024;
+pub(crate) const COMPRESS_FROM_BYTES: usize = 1_024;
 
 /// Makes a body smaller. A map of 16 sets on 96 ranks has 17.9 kB as text and 6.6 kB packed; at the
 /// fastest level it has 7.6 kB.
-pub(crate) fn pack(body: &[u8]) -> Bytes {
+pub(crate) fn compress(body: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::default());
     // Writing to a vector does not fail.
     let packed = encoder.write_all(body).and_then(|()| encoder.finish());
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// It was not packed here, or is larger.
-pub(crate) fn unpack(packed: &[u8], most: usize) -> eyre::Result<Bytes> {
+pub(crate) fn decompress(packed: &[u8], most: usize) -> eyre::Result<Bytes> {
     let mut body = Vec::new();
     ZlibDecoder::new(packed).take(most as u64 + 1).read_to_end(&mut body)?;
     if body.len() > most {
--- a/crates/direct/src/crash_keeper.rs
+++ b/crates/direct/src/crash_sync.rs
@@ -28,7 +28,7 @@
 const MOST_ROWS: usize = 50;
 
 /// Reads what is kept, then keeps it up to date until the process ends.
-pub async fn keep<P: Platform>(gateway: Rc<Gateway<P>>) {
+pub async fn sync_crashes<P: Platform>(gateway: Rc<Gateway<P>>) {
     // How many crashes of each request are kept, as far as this gateway knows.
     let mut eras = gateway.watch_eras();
     let mut kept: BTreeMap<Fingerprint, usize> = read(&gateway).await;
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -20,9 +20,9 @@
 use http_body_util::Full;
 use tokio::time;
 
+use crate::compression;
 use crate::connections::Connection;
 use crate::gateway::Gateway;
-use crate::packing;
 use crate::platform::EngineAsk;
 use crate::platform::EngineReport;
 use crate::platform::Platform;
@@ -63,7 +63,8 @@
     /// Spells a question as the platform has it.
     pub fn new<P: Platform>(gateway: &Gateway<P>, asked: &EngineAsk<'_>) -> Question {
         let (method, uri, body) = gateway.platform.engine_ask(asked);
-        let packed = (body.len() >= packing::PACKED_FROM).then(|| packing::pack(&body));
+        let packed =
+            (body.len() >= compression::COMPRESS_FROM_BYTES).then(|| compression::compress(&body));
         Question { method, uri, body, packed, since: None }
     }
 
@@ -177,7 +178,7 @@
         }
         if let Some(packed) = &question.packed {
             body = packed;
-            request = request.header(header::CONTENT_ENCODING, packing::ENCODING);
+            request = request.header(header::CONTENT_ENCODING, compression::ENCODING);
         }
     }
     if end == End::Relay {
@@ -265,7 +266,7 @@
 ) -> Option<CountsNews> {
     let question = Question::new(gateway, &EngineAsk::Counts).since(known);
     let body = ask_body(gateway, server, &question, Path::Sidecar).await?;
-    let body = packing::unpack(&body, sidecar::MOST_BYTES).ok()?;
+    let body = compression::decompress(&body, sidecar::MAX_BODY_BYTES).ok()?;
     ciborium::from_reader(body.as_ref()).ok()
 }
 
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -58,7 +58,7 @@
 use crate::gateway::findings::Reach;
 use crate::journal::Journal;
 use crate::metrics::Metrics;
-use crate::permits::Givers;
+use crate::permits::PermitGranters;
 use crate::platform::Platform;
 use crate::platform::Table;
 
@@ -122,7 +122,7 @@
     pub crashes_changed: Notify,
     permits: RefCell<Permits>,
     /// The gateways that give out permits.
-    pub permit_givers: Givers,
+    pub permit_givers: PermitGranters,
     /// Told when an answer about permits has come.
     pub permits_told: Notify,
     /// Wakes whoever hands the own part over: a server has named a limit.
@@ -192,7 +192,7 @@
             found: RefCell::default(),
             crashes_changed: Notify::new(),
             permits: RefCell::new(Permits::new(clock.now())),
-            permit_givers: Givers::default(),
+            permit_givers: PermitGranters::default(),
             permits_told: Notify::new(),
             limits_known: Notify::new(),
             serving: RefCell::default(),
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -32,7 +32,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::findings::Reach;
 use crate::permits;
-use crate::permits::Wanted;
+use crate::permits::PermitRequest;
 use crate::platform::KeptCrashes;
 use crate::platform::Platform;
 
@@ -142,7 +142,7 @@
         }
         let trial = Trial { gateway: self.clone(), fingerprint };
         // Where nobody answers, this gateway alone can be held to one at a time.
-        match permits::ask(self, Wanted::Trial(fingerprint)).await {
+        match permits::request_permits(self, PermitRequest::Trial(fingerprint)).await {
             Some(Grant { permits: 0, retry_in }) => Err((Cause::CrashSuspect, retry_in)),
             Some(_) | None => Ok(Some(trial)),
         }
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -17,7 +17,7 @@
 use crate::gateway::findings::Reach;
 use crate::headers;
 use crate::permits;
-use crate::permits::Wanted;
+use crate::permits::PermitRequest;
 use crate::platform::Platform;
 
 /// Leave to send one request to a server.
@@ -92,8 +92,8 @@
         let Permission::Ask(wanted) = taken else { return self.permitted(taken) };
         let (life, ramp_up_rate) =
             self.with_pool(|pool| (pool.incarnation(server), pool.ramp_up_rate(server, now)));
-        let wanted = Wanted::Requests(life, wanted, ramp_up_rate);
-        let given = permits::ask(self, wanted).await.unwrap_or_default();
+        let wanted = PermitRequest::Requests(life, wanted, ramp_up_rate);
+        let given = permits::request_permits(self, wanted).await.unwrap_or_default();
         let told_at = self.now();
         let taken = self.with_pool(|pool| {
             pool.record_grant(server, given, now, told_at);
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -10,8 +10,8 @@
 //! 5. `exchange` is one attempt, over a connection from `connections`.
 //! 6. `relay` passes the answer on as it comes, and takes up a broken stream elsewhere.
 //!
-//! Beside it, `follow` keeps the tables of the platform up to date, `peers` exchanges them with
-//! other gateways, `crash_keeper` keeps on the platform under which requests servers crash, `permits`
+//! Beside it, `table_sync` keeps the tables of the platform up to date, `peers` exchanges them with
+//! other gateways, `crash_sync` stores on the platform which requests crash servers, `permits`
 //! holds all gateways together to the limits that servers name, `maps` moves experts between the ranks
 //! of groups as demand changes, through [`sidecar`], the process beside each backend server, where there
 //! is one, and `endpoints` tells callers which gateways there are. What the platform is like stands
@@ -19,21 +19,20 @@
 
 mod accept;
 mod callers;
+mod compression;
 mod connections;
-mod crash_keeper;
+mod crash_sync;
 pub mod dial;
 mod endpoints;
 pub mod engine;
 pub mod entrance;
 mod exchange;
-mod follow;
 mod forward;
 mod gateway;
 mod headers;
 mod journal;
 mod maps;
 mod metrics;
-mod packing;
 mod peers;
 mod permits;
 pub mod platform;
@@ -43,5 +42,6 @@
 pub mod settings;
 pub mod sidecar;
 mod standing;
+mod table_sync;
 
 pub use gateway::Gateway;
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -1,12 +1,12 @@
 //! News between gateways: who lives, and what changed in the platform's tables.
 //!
 //! Each gateway asks another one, drawn at random, in each round: more often while the store does not
-//! answer it, and at once where news cannot wait. Both tell what they know, and give each other what
+//! reply it, and at once where news cannot wait. Both tell what they know, and give each other what
 //! is lacking. So whatever reaches one gateway reaches all within a few rounds, also those that the
 //! store turns away.
 
-pub(crate) mod links;
-pub(crate) mod news;
+pub(crate) mod connection_pool;
+pub(crate) mod messages;
 
 use std::cell::RefCell;
 use std::io;
@@ -30,16 +30,16 @@
 use crate::dial;
 use crate::gateway::Gateway;
 use crate::gateway::findings::Reach;
-use crate::peers::links::Links;
-use crate::peers::news::answer;
-use crate::peers::news::decode;
-use crate::peers::news::encode;
-use crate::peers::news::question;
-use crate::peers::news::rest;
-use crate::peers::news::take;
+use crate::peers::connection_pool::ConnectionPool;
+use crate::peers::messages::apply_reply;
+use crate::peers::messages::decode;
+use crate::peers::messages::encode;
+use crate::peers::messages::follow_up;
+use crate::peers::messages::opening_message;
+use crate::peers::messages::reply;
 use crate::platform::Platform;
 
-/// Time between two rounds while the store does not answer, or while this gateway knows too little to
+/// Time between two rounds while the store does not reply, or while this gateway knows too little to
 /// serve.
 const HASTY_ROUND: Duration = Duration::from_millis(250);
 
@@ -77,21 +77,21 @@
     while let Some(message) = socket.next().await {
         let Message::Binary(bytes) = message? else { continue };
         let asked = decode(bytes)?;
-        let answer = answer(&gateway, &asked);
-        time::timeout(EXCHANGE_TIMEOUT, socket.send(encode(&answer))).await??;
+        let reply = reply(&gateway, &asked);
+        time::timeout(EXCHANGE_TIMEOUT, socket.send(encode(&reply))).await??;
     }
     Ok(())
 }
 
 /// Connections to other gateways.
 pub struct Peers {
-    links: Links,
+    links: ConnectionPool,
     seeds: RefCell<Vec<SocketAddr>>,
 }
 
 impl Default for Peers {
     fn default() -> Self {
-        Peers { links: Links::new(MOST_KEPT), seeds: RefCell::default() }
+        Peers { links: ConnectionPool::new(MOST_KEPT), seeds: RefCell::default() }
     }
 }
 
@@ -211,12 +211,12 @@
         None => connect(address, EXCHANGE_TIMEOUT).await?,
     };
     let asked_at = gateway.now();
-    let answer = ask(&mut socket, &question(gateway)).await?;
-    take(gateway, &answer, asked_at);
+    let reply = round_trip(&mut socket, &opening_message(gateway)).await?;
+    apply_reply(gateway, &reply, asked_at);
     // What the other lacks, it is given at once.
-    if let Some(rest) = rest(gateway, &answer) {
+    if let Some(follow_up) = follow_up(gateway, &reply) {
         let asked_at = gateway.now();
-        take(gateway, &ask(&mut socket, &rest).await?, asked_at);
+        apply_reply(gateway, &round_trip(&mut socket, &follow_up).await?, asked_at);
     }
     Ok(socket)
 }
@@ -227,8 +227,8 @@
     Ok(tokio_tungstenite::client_async(format!("ws://{address}/"), stream).await?.0)
 }
 
-/// Sends news, and returns the answer.
-pub(crate) async fn ask(socket: &mut Socket, news: &PeerNews) -> eyre::Result<PeerNews> {
+/// Sends news, and returns the reply.
+pub(crate) async fn round_trip(socket: &mut Socket, news: &PeerNews) -> eyre::Result<PeerNews> {
     socket.send(encode(news)).await?;
     while let Some(message) = socket.next().await {
         if let Message::Binary(bytes) = message? {
--- a/crates/direct/src/peers/links.rs
+++ b/crates/direct/src/peers/connection_pool.rs
@@ -9,16 +9,16 @@
 use crate::peers::Socket;
 
 /// Idle connections, so many at most.
-pub(crate) struct Links {
+pub(crate) struct ConnectionPool {
     most: usize,
     /// The one used last at the end.
     kept: RefCell<VecDeque<(SocketAddr, Socket)>>,
 }
 
-impl Links {
+impl ConnectionPool {
     /// None yet, and at most `most` of them.
-    pub(crate) fn new(most: usize) -> Links {
-        Links { most, kept: RefCell::default() }
+    pub(crate) fn new(most: usize) -> ConnectionPool {
+        ConnectionPool { most, kept: RefCell::default() }
     }
 
     /// Exchanges something over the connection that is kept to an address, if there is one, else over a new one; once
--- a/crates/direct/src/peers/news.rs
+++ b/crates/direct/src/peers/messages.rs
@@ -43,25 +43,25 @@
 const DEPTH_LIMIT: usize = 16;
 
 /// Time after a standstill in which questions that came meanwhile are read.
-pub(crate) const READ_LATE: Millis = Millis(300);
+pub(crate) const LATE_READ_WINDOW: Millis = Millis(300);
 
 /// What is asked first: what this gateway knows.
-pub(super) fn question<P: Platform>(gateway: &Gateway<P>) -> PeerNews {
+pub(super) fn opening_message<P: Platform>(gateway: &Gateway<P>) -> PeerNews {
     let now = gateway.now();
     let (own, beats) =
         gateway.with_members(|members| (members.own_record(), members.heartbeats(now)));
     PeerNews { members: vec![word_news(&own)], ..with_beats(own_news(gateway, None), &beats) }
 }
 
-/// Takes what another gateway told, and returns the answer to it: what the other lacks and, if it told
+/// Takes what another gateway told, and returns the reply to it: what the other lacks and, if it told
 /// all that it knows, what this one knows and lacks.
-pub(super) fn answer<P: Platform>(gateway: &Gateway<P>, asked: &PeerNews) -> PeerNews {
+pub(super) fn reply<P: Platform>(gateway: &Gateway<P>, asked: &PeerNews) -> PeerNews {
     let now = gateway.now();
     // It may have waited as long as this process stood still.
-    let waited = gateway.stood_still(READ_LATE).unwrap_or(Millis::ZERO);
+    let waited = gateway.stood_still(LATE_READ_WINDOW).unwrap_or(Millis::ZERO);
     if let Some(permits) = &asked.permits_asked {
-        gateway.take_limits(&limits_told(asked, now, waited));
-        return permits::answer(gateway, permits);
+        gateway.take_limits(&received_limits(asked, now, waited));
+        return permits::reply(gateway, permits);
     }
     let told = beats_of(asked, waited);
     let unknown = take_told(gateway, asked, &told, waited);
@@ -84,14 +84,14 @@
     }
 }
 
-/// What the other was found to lack by its answer, if anything.
-pub(super) fn rest<P: Platform>(gateway: &Gateway<P>, answer: &PeerNews) -> Option<PeerNews> {
+/// What the other was found to lack by its reply, if anything.
+pub(super) fn follow_up<P: Platform>(gateway: &Gateway<P>, reply: &PeerNews) -> Option<PeerNews> {
     let wanted: Vec<IncarnationId> =
-        answer.wanted_numbers.iter().copied().map(IncarnationId).collect();
+        reply.wanted_numbers.iter().copied().map(IncarnationId).collect();
     let now = gateway.now();
     let members = gateway.with_members(|members| members.records_of(&wanted, now));
-    let news = own_news(gateway, Some(answer));
-    let news = with_lacking_crashes(gateway, news, answer, now);
+    let news = own_news(gateway, Some(reply));
+    let news = with_lacking_crashes(gateway, news, reply, now);
     let has_crashes = !news.crashes.is_empty() || !news.crashes_wanted.is_empty();
     let has_tables = !news.news.is_empty() || news.configuration_kept.is_some();
     let lacks_nothing = members.is_empty() && !has_tables && !has_crashes;
@@ -113,17 +113,17 @@
     }
 }
 
-/// News with the crashes that the other lacks by its answer, asking for those that this gateway lacks.
+/// News with the crashes that the other lacks by its reply, asking for those that this gateway lacks.
 fn with_lacking_crashes<P: Platform>(
     gateway: &Gateway<P>,
     news: PeerNews,
-    answer: &PeerNews,
+    reply: &PeerNews,
     now: Millis,
 ) -> PeerNews {
-    if answer.crash_digest_number == news.crash_digest_number {
+    if reply.crash_digest_number == news.crash_digest_number {
         return news;
     }
-    let known = answer.crashes_known.iter();
+    let known = reply.crashes_known.iter();
     let known: Vec<_> =
         known.map(|&[server, by, digest]| (sighting(&[server, by]), digest)).collect();
     let ((lacking, wanted), cleared) =
@@ -211,12 +211,12 @@
         slow: gateway.with_findings(|findings| findings.current(now).map(slow_servers).collect()),
         crash_digest_number: gateway.with_crashes(|crashes| crashes.digest(now)),
         limits: limits.iter().map(|(server, said)| limit_news(*server, said, now)).collect(),
-        ..empty()
+        ..empty_message()
     }
 }
 
 /// News that tell nothing.
-pub(crate) fn empty() -> PeerNews {
+pub(crate) fn empty_message() -> PeerNews {
     PeerNews {
         members: Vec::new(),
         beats: Vec::new(),
@@ -247,7 +247,7 @@
 }
 
 /// What a server said of its limit, as it is told.
-pub(crate) fn limits_of<P: Platform>(
+pub(crate) fn limit_entries<P: Platform>(
     gateway: &Gateway<P>,
     server: ServerIncarnation,
 ) -> Vec<[u64; 4]> {
@@ -256,8 +256,8 @@
     said.iter().map(|said| limit_news(server, said, now)).collect()
 }
 
-/// What another gateway told of limits, in an answer that was waited for so long.
-pub(crate) fn limits_told(
+/// What another gateway told of limits, in an reply that was waited for so long.
+pub(crate) fn received_limits(
     news: &PeerNews,
     now: Millis,
     waited: Millis,
@@ -281,11 +281,11 @@
     }
 }
 
-/// Takes what another gateway answered to what was asked at a time. The answer may have waited since,
+/// Takes what another gateway answered to what was asked at a time. The reply may have waited since,
 /// as this process may have stood still: what it tells is older by so much at the most.
-pub(super) fn take<P: Platform>(gateway: &Gateway<P>, news: &PeerNews, asked_at: Millis) {
+pub(super) fn apply_reply<P: Platform>(gateway: &Gateway<P>, news: &PeerNews, asked_at: Millis) {
     let waited = gateway.now().since(asked_at);
-    // Whoever it names and this gateway did not know comes with the answer.
+    // Whoever it names and this gateway did not know comes with the reply.
     take_told(gateway, news, &beats_of(news, waited), waited);
 }
 
@@ -316,7 +316,7 @@
         age: Millis(age_ms) + waited,
     });
     gateway.take_crashes(&crashes, &cleared.collect::<Vec<_>>());
-    gateway.take_limits(&limits_told(news, now, waited));
+    gateway.take_limits(&received_limits(news, now, waited));
     for table_news in &news.news {
         if let Some(table) = Table::of_name(&table_news.table) {
             gateway.take(table, &update(table_news), "peer");
@@ -448,13 +448,13 @@
 }
 
 /// A gateway as it stands in [`Table::Members`].
-pub(crate) fn member_text(member: &Member) -> String {
+pub(crate) fn member_to_json(member: &Member) -> String {
     // The type has only fields that JSON can hold.
     serde_json::to_string(&member_news(member)).unwrap_or_default()
 }
 
 /// The gateway that a value of [`Table::Members`] lists.
-pub(crate) fn member_of_text(text: &str) -> Option<Member> {
+pub(crate) fn member_from_json(text: &str) -> Option<Member> {
     member(&serde_json::from_str::<MemberNews>(text).ok()?)
 }
 
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -27,9 +27,9 @@
 use crate::gateway::crashes::TRIAL;
 use crate::peers;
 use crate::peers::Socket;
-use crate::peers::links::Links;
-use crate::peers::news;
-use crate::peers::news::READ_LATE;
+use crate::peers::connection_pool::ConnectionPool;
+use crate::peers::messages;
+use crate::peers::messages::LATE_READ_WINDOW;
 use crate::platform::Platform;
 
 /// How long a gateway that gave no answer is passed by.
@@ -39,30 +39,30 @@
 const MOST_KEPT: usize = 4;
 
 /// The gateways that give out permits.
-pub struct Givers {
-    links: Links,
+pub struct PermitGranters {
+    links: ConnectionPool,
     /// Those that gave no answer, and until when each is passed by.
     passed_by: RefCell<HashMap<IncarnationId, Millis>>,
 }
 
-impl Default for Givers {
+impl Default for PermitGranters {
     fn default() -> Self {
-        Givers { links: Links::new(MOST_KEPT), passed_by: RefCell::default() }
+        PermitGranters { links: ConnectionPool::new(MOST_KEPT), passed_by: RefCell::default() }
     }
 }
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug)]
-pub enum Wanted {
+pub enum PermitRequest {
     /// Nothing: the own part is handed over.
-    Nothing,
+    ShareOnly,
     /// Requests to a server, so many, and what all gateways together send it while it comes back from a rest.
     Requests(ServerIncarnation, u32, Option<Rate>),
     /// A trial of a request.
     Trial(Fingerprint),
 }
 
-impl Wanted {
+impl PermitRequest {
     fn question(self, own: GatewayId, hands_over: bool) -> PermitsAsked {
         let nothing = PermitsAsked {
             gateway_number: own.0,
@@ -73,14 +73,16 @@
             trial_number: None,
         };
         match self {
-            Wanted::Nothing => nothing,
-            Wanted::Requests(server, wanted_requests, returning) => PermitsAsked {
+            PermitRequest::ShareOnly => nothing,
+            PermitRequest::Requests(server, wanted_requests, returning) => PermitsAsked {
                 server_number: Some(server.0),
                 wanted_requests,
                 returning_requests: returning.map(|rate| rate.in_1000_s),
                 ..nothing
             },
-            Wanted::Trial(request) => PermitsAsked { trial_number: Some(request.0), ..nothing },
+            PermitRequest::Trial(request) => {
+                PermitsAsked { trial_number: Some(request.0), ..nothing }
+            }
         }
     }
 }
@@ -97,7 +99,7 @@
     loop {
         while gateway.with_pool(|pool| pool.has_limits()) {
             // In vain where nobody can be asked.
-            let _ = ask(&gateway, Wanted::Nothing).await;
+            let _ = request_permits(&gateway, PermitRequest::ShareOnly).await;
             time::sleep(Duration::from(DELEGATION_INTERVAL)).await;
         }
         gateway.limits_known.notified().await;
@@ -105,7 +107,10 @@
 }
 
 /// Asks for permits; `None` if there is no answer.
-pub async fn ask<P: Platform>(gateway: &Rc<Gateway<P>>, wanted: Wanted) -> Option<Grant> {
+pub async fn request_permits<P: Platform>(
+    gateway: &Rc<Gateway<P>>,
+    wanted: PermitRequest,
+) -> Option<Grant> {
     let giver = giver(gateway)?;
     let now = gateway.now();
     let own = GatewayId(gateway.with_members(|members| hash::of(&members.own().name)));
@@ -115,8 +120,8 @@
         return Some(give(gateway, &asked));
     }
     let server = asked.server_number.map(ServerIncarnation);
-    let limits = server.map(|server| news::limits_of(gateway, server)).unwrap_or_default();
-    let question = PeerNews { permits_asked: Some(asked), limits, ..news::empty() };
+    let limits = server.map(|server| messages::limit_entries(gateway, server)).unwrap_or_default();
+    let question = PeerNews { permits_asked: Some(asked), limits, ..messages::empty_message() };
     let exchanged =
         time::timeout(Duration::from(ASK_TIMEOUT), exchange(gateway, giver.at, &question));
     match exchanged.await {
@@ -151,7 +156,11 @@
     let asked_at = gateway.now();
     let over = async |kept| ask_over(kept, at, question).await;
     let answer = gateway.permit_givers.links.exchange(at, over).await?;
-    gateway.take_limits(&news::limits_told(&answer, gateway.now(), gateway.now().since(asked_at)));
+    gateway.take_limits(&messages::received_limits(
+        &answer,
+        gateway.now(),
+        gateway.now().since(asked_at),
+    ));
     let given = answer.permits_given.ok_or_else(|| eyre!("it knows no permits"))?;
     Ok(Grant { permits: given.permitted_requests, retry_in: Millis(given.again_in_ms) })
 }
@@ -165,24 +174,24 @@
         Some(socket) => socket,
         None => peers::connect(at, Duration::from(ASK_TIMEOUT)).await?,
     };
-    let answer = peers::ask(&mut socket, question).await?;
+    let answer = peers::round_trip(&mut socket, question).await?;
     Ok((socket, answer))
 }
 
 /// Answers a gateway that asks for permits.
-pub(crate) fn answer<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> PeerNews {
+pub(crate) fn reply<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> PeerNews {
     // A question that waited as long as this process stood still says nothing of now.
-    let is_fresh = gateway.stood_still(READ_LATE).is_none();
+    let is_fresh = gateway.stood_still(LATE_READ_WINDOW).is_none();
     let hands_over = asked.hands_over && is_fresh;
     let given = give(gateway, &PermitsAsked { hands_over, ..asked.clone() });
     let server = asked.server_number.map(ServerIncarnation);
     PeerNews {
-        limits: server.map(|server| news::limits_of(gateway, server)).unwrap_or_default(),
+        limits: server.map(|server| messages::limit_entries(gateway, server)).unwrap_or_default(),
         permits_given: Some(PermitsGiven {
             permitted_requests: given.permits,
             again_in_ms: given.retry_in.0,
         }),
-        ..news::empty()
+        ..messages::empty_message()
     }
 }
 
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -25,10 +25,9 @@
 use tokio::time;
 
 use crate::callers;
-use crate::crash_keeper;
+use crate::crash_sync;
 use crate::endpoints;
 use crate::endpoints::Question;
-use crate::follow;
 use crate::gateway::Gateway;
 use crate::maps;
 use crate::peers;
@@ -39,6 +38,7 @@
 use crate::settings;
 use crate::sidecar;
 use crate::standing;
+use crate::table_sync;
 
 /// Connections that wait to be accepted: a flood of callers is not turned away by the kernel.
 const BACKLOG: u32 = 1_024;
@@ -155,11 +155,11 @@
 fn spawn_upkeep<P: Platform>(started: &Started<P>) {
     let gateway = &started.gateway;
     for table in [Table::Configuration, Table::Servers] {
-        tokio::task::spawn_local(follow::follow(gateway.clone(), table));
+        tokio::task::spawn_local(table_sync::follow(gateway.clone(), table));
     }
-    tokio::task::spawn_local(follow::settle(gateway.clone()));
-    tokio::task::spawn_local(follow::keep_listed(gateway.clone()));
-    tokio::task::spawn_local(crash_keeper::keep(gateway.clone()));
+    tokio::task::spawn_local(table_sync::watch_unconfirmed_rows(gateway.clone()));
+    tokio::task::spawn_local(table_sync::maintain_membership_row(gateway.clone()));
+    tokio::task::spawn_local(crash_sync::sync_crashes(gateway.clone()));
     tokio::task::spawn_local(maps::run(gateway.clone()));
     tokio::task::spawn_local(standing::watch(gateway.clone()));
     tokio::task::spawn_local(permits::run(gateway.clone()));
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -47,10 +47,10 @@
 use tokio::time;
 
 use crate::accept;
+use crate::compression;
 use crate::dial;
 use crate::gateway::Gateway;
 use crate::headers;
-use crate::packing;
 use crate::platform::Platform;
 
 /// Names another engine that is to be asked, by its address. Without it, it is the one beside.
@@ -64,7 +64,7 @@
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Largest body that is passed on: a map of 64 ranks and 256 experts has some 100 KB.
-pub(crate) const MOST_BYTES: usize = 1 << 20;
+pub(crate) const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// The engine beside this process, and idle connections to it and to others. `C` tells whether an engine
 /// has asked this process's machine to send it nothing for now.
@@ -169,7 +169,7 @@
 
     async fn pass_on(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>> {
         let (mut head, body) = request.into_parts();
-        let body = Limited::new(body, MOST_BYTES).collect().await;
+        let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let mut body = body.map_err(|error| eyre!("the order cannot be read: {error}"))?.to_bytes();
         headers::strip_connection(&mut head.headers);
         let address = self.asked(&mut head.headers)?;
@@ -177,7 +177,7 @@
         let since = headers::number(&head.headers, &HeaderName::from_static(SINCE_HEADER));
         head.headers.remove(SINCE_HEADER);
         if head.headers.remove(header::CONTENT_ENCODING).is_some() {
-            body = packing::unpack(&body, MOST_BYTES)?;
+            body = compression::decompress(&body, MAX_BODY_BYTES)?;
             head.headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
         }
         let kept = self.kept.borrow_mut().get_mut(&address).and_then(Vec::pop);
@@ -202,7 +202,7 @@
         let news = self.told.borrow_mut().encode(read, known);
         let mut body = Vec::new();
         ciborium::into_writer(&news, &mut body)?;
-        Ok(Response::new(Full::new(packing::pack(&body))))
+        Ok(Response::new(Full::new(compression::compress(&body))))
     }
 
     /// Which engine is asked.
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/table_sync.rs
@@ -9,7 +9,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::Phase;
-use crate::peers::news;
+use crate::peers::messages;
 use crate::platform::Failure;
 use crate::platform::Platform;
 use crate::platform::Table;
@@ -99,7 +99,7 @@
 }
 
 /// Waits for servers to write again what the store has lost of them, until the process ends.
-pub async fn settle<P: Platform>(gateway: Rc<Gateway<P>>) {
+pub async fn watch_unconfirmed_rows<P: Platform>(gateway: Rc<Gateway<P>>) {
     loop {
         gateway.rows_lost.notified().await;
         while gateway.settle() {
@@ -133,7 +133,7 @@
 }
 
 /// Lists this gateway, and reads who else is listed, now and then, until it stops.
-pub async fn keep_listed<P: Platform>(gateway: Rc<Gateway<P>>) {
+pub async fn maintain_membership_row<P: Platform>(gateway: Rc<Gateway<P>>) {
     let mut eras = gateway.watch_eras();
     let (mut listed_in, mut pause) = (None, PAUSE);
     // A process that stops is taken off the list, and must not come back onto it.
@@ -143,7 +143,7 @@
         let mut reads = true;
         if listed_in < gateway.era() || listed_in.is_none() {
             reads = listed_in.is_none();
-            let value = news::member_text(&own);
+            let value = messages::member_to_json(&own);
             let written_in = gateway.platform.write_member(&own.name, Some(&value)).await.ok();
             listed_in = written_in.filter(|era| Some(*era) >= gateway.era());
         }
@@ -180,7 +180,7 @@
     }
     let now = gateway.now();
     let texts = update.changes.iter().filter_map(|change| change.value.as_deref());
-    let listed: Vec<Member> = texts.filter_map(news::member_of_text).collect();
+    let listed: Vec<Member> = texts.filter_map(messages::member_from_json).collect();
     for name in gateway.with_members(|members| members.apply_table(&listed, now)) {
         match gateway.platform.write_member(&name, None).await {
             Ok(_) => gateway.journal.state(format_args!("{name} is listed no more")),
