--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -1,9 +1,14 @@
-//! News between gateways: who lives, and what changed in the platform's tables.
+//! Gossip between gateways: exchanges messages with one peer in each gossip round.
+//! Input: messages of peers, seed addresses, urgent updates. State: idle connections and the seeds.
+//! It decides which gateway it contacts in a round, and when the next round begins.
 //!
-//! Each gateway asks another one, drawn at random, in each round: more often while the store does not
-//! reply it, and at once where news cannot wait. Both tell what they know, and give each other what
-//! is lacking. So whatever reaches one gateway reaches all within a few rounds, also those that the
-//! store turns away.
+//! Each gateway contacts another one, picked at random, in each round: more often while the store
+//! does not answer it, and at once for urgent updates. Both sides send what they know and what the
+//! other side lacks. So an update that reaches one gateway reaches all within a few rounds,
+//! including gateways whose calls the store refuses.
+//!
+//! - [`connection_pool`]: idle connections to other gateways.
+//! - [`messages`]: the messages, and their translation into types of the core.
 
 pub(crate) mod connection_pool;
 pub(crate) mod messages;
@@ -39,102 +44,103 @@
 use crate::peers::messages::reply;
 use crate::platform::Platform;
 
-/// Time between two rounds while the store does not reply, or while this gateway knows too little to
-/// serve.
-const HASTY_ROUND: Duration = Duration::from_millis(250);
+/// Time between two gossip rounds while the store does not answer, or while this gateway does not
+/// know enough to serve.
+const FAST_GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest time for one exchange.
+/// Time-out of one exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Idle connections to other gateways that are kept.
-const MOST_KEPT: usize = 8;
+/// Maximum number of idle connections to other gateways.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Rounds from one that asks a seed to the next: a seed may know the other side after a cut, and
-/// most rounds are better spent on gateways that are known to live.
-const SEED_ROUNDS: usize = 8;
+/// Number of rounds from one that contacts a seed to the next. After a network cut, a seed may know
+/// the gateways of the other side. Most rounds are better spent on gateways that are known to be
+/// alive.
+const SEED_INTERVAL_ROUNDS: usize = 8;
 
 /// A connection to another gateway.
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Accepts other gateways until the process ends.
+/// Accepts connections of other gateways until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
-    let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("peers are not accepted: {error}"));
+    let log_error = |error: &io::Error| {
+        gateway.journal.state(format_args!("cannot accept connections of peers: {error}"));
     };
     loop {
-        let stream = accept::next(&listener, note).await;
+        let stream = accept::next(&listener, log_error).await;
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move {
-            // The other side sees the close and dials again.
-            drop(answer_peer(gateway, stream).await);
+            // On an error the connection is closed, and the peer opens a new one.
+            drop(serve_peer(gateway, stream).await);
         });
     }
 }
 
-async fn answer_peer<P: Platform>(gateway: Rc<Gateway<P>>, stream: TcpStream) -> eyre::Result<()> {
+async fn serve_peer<P: Platform>(gateway: Rc<Gateway<P>>, stream: TcpStream) -> eyre::Result<()> {
     let accepted = tokio_tungstenite::accept_async(stream);
     let mut socket = time::timeout(EXCHANGE_TIMEOUT, accepted).await??;
     while let Some(message) = socket.next().await {
         let Message::Binary(bytes) = message? else { continue };
-        let asked = decode(bytes)?;
-        let reply = reply(&gateway, &asked);
+        let request = decode(bytes)?;
+        let reply = reply(&gateway, &request);
         time::timeout(EXCHANGE_TIMEOUT, socket.send(encode(&reply))).await??;
     }
     Ok(())
 }
 
-/// Connections to other gateways.
+/// The gossip of this gateway: its idle connections to others, and the seeds.
 pub struct Peers {
-    links: ConnectionPool,
+    connections: ConnectionPool,
     seeds: RefCell<Vec<SocketAddr>>,
 }
 
 impl Default for Peers {
     fn default() -> Self {
-        Peers { links: ConnectionPool::new(MOST_KEPT), seeds: RefCell::default() }
+        Peers { connections: ConnectionPool::new(MAX_IDLE_CONNECTIONS), seeds: RefCell::default() }
     }
 }
 
 impl Peers {
-    /// Gateways to ask while no other is known.
+    /// Sets the addresses of gateways to contact while no other is known.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.borrow_mut() = seeds;
     }
 
-    /// Exchanges news until the process ends.
+    /// Exchanges messages with other gateways until the process ends.
     pub async fn run<P: Platform>(&self, gateway: Rc<Gateway<P>>) {
         let mut round = 0;
         let mut urgent = None;
         loop {
             let now = gateway.now();
             let readiness = gateway.readiness();
-            note_sightings(&gateway, now);
-            let drawn = gateway.with_members(|members| {
+            log_liveness_changes(&gateway, now);
+            let peer = gateway.with_members(|members| {
                 members.advance_heartbeat();
                 members.set_readiness(readiness);
-                let near = match urgent {
+                let local = match urgent {
                     Some(Reach::Near) => members.random_local_peer(now, &mut rand::rng()),
                     Some(Reach::All) | None => None,
                 };
-                near.or_else(|| members.random_peer(now, &mut rand::rng()))
+                local.or_else(|| members.random_peer(now, &mut rand::rng()))
             });
             round += 1;
-            let asked = match self.seed(&gateway, round, drawn.is_none()).or(drawn) {
+            let exchanged = match self.seed(&gateway, round, peer.is_none()).or(peer) {
                 Some(address) => self.exchange(&gateway, address).await,
                 None => gateway.with_members(|members| members.is_listed_alone()),
             };
-            if asked {
+            if exchanged {
                 gateway.note_peers_asked();
             }
-            let hasty = !gateway.store_answers() || readiness == Readiness::Starting;
+            let fast = !gateway.store_answers() || readiness == Readiness::Starting;
             urgent = gateway.take_urgent_round();
             if urgent.is_some() {
                 continue;
             }
             gateway.told.notify_waiters();
-            let round_time =
+            let interval =
                 gateway.with_members(|members| Duration::from(members.gossip_interval()));
-            let pause = time::sleep(if hasty { HASTY_ROUND } else { round_time });
+            let pause = time::sleep(if fast { FAST_GOSSIP_INTERVAL } else { interval });
             tokio::select! {
                 () = pause => {}
                 () = gateway.urgent.notified() => urgent = gateway.urgent_reach(),
@@ -142,8 +148,8 @@
         }
     }
 
-    /// The seed to ask in a round, if one is: each in the first rounds, and then now and then, or
-    /// while `alone`.
+    /// The seed to contact in a round, if any. One is contacted in each of the first rounds, as many
+    /// as there are seeds, then in one of [`SEED_INTERVAL_ROUNDS`], and in each one while `alone`.
     fn seed<P: Platform>(
         &self,
         gateway: &Gateway<P>,
@@ -151,33 +157,33 @@
         alone: bool,
     ) -> Option<SocketAddr> {
         let seeds = self.seeds.borrow();
-        if !alone && !round.is_multiple_of(SEED_ROUNDS) && round >= seeds.len() {
+        if !alone && !round.is_multiple_of(SEED_INTERVAL_ROUNDS) && round >= seeds.len() {
             return None;
         }
         let own = gateway.with_members(|members| members.own().peers_at);
         seeds.get(round % seeds.len().max(1)).copied().filter(|address| *address != own)
     }
 
-    /// Tells all that live, at once.
+    /// Exchanges messages with all gateways that are alive, in parallel.
     pub async fn announce<P: Platform>(&self, gateway: &Rc<Gateway<P>>) {
         let now = gateway.now();
         let readiness = gateway.readiness();
-        let living = gateway.with_members(|members| {
+        let alive = gateway.with_members(|members| {
             members.advance_heartbeat();
             members.set_readiness(readiness);
             members.alive_peers(now)
         });
-        let told = living.into_iter().map(|address| self.exchange(gateway, address));
-        futures_util::future::join_all(told).await;
+        let exchanges = alive.into_iter().map(|address| self.exchange(gateway, address));
+        futures_util::future::join_all(exchanges).await;
     }
 
-    /// Exchanges news with the gateway at an address; whether it answered.
+    /// Exchanges messages with the gateway at an address, and returns whether it answered.
     async fn exchange<P: Platform>(&self, gateway: &Rc<Gateway<P>>, address: SocketAddr) -> bool {
-        let exchange = async |kept| {
-            let done = exchange(gateway, address, kept);
+        let exchange = async |idle| {
+            let done = exchange(gateway, address, idle);
             Ok((time::timeout(EXCHANGE_TIMEOUT, done).await??, ()))
         };
-        let answered = self.links.exchange(address, exchange).await.is_ok();
+        let answered = self.connections.exchange(address, exchange).await.is_ok();
         let now = gateway.now();
         gateway.with_members(|members| match answered {
             true => members.record_exchange(now),
@@ -187,36 +193,37 @@
     }
 }
 
-/// Forgets gateways that were silent for long; logs whom callers are sent to from now on, or are not.
-fn note_sightings<P: Platform>(gateway: &Gateway<P>, now: Millis) {
-    let (sightings, living) = gateway.with_members(|members| {
+/// Removes gateways that were not alive for long, and logs which gateways became alive, suspected
+/// or removed.
+fn log_liveness_changes<P: Platform>(gateway: &Gateway<P>, now: Millis) {
+    let (changes, alive) = gateway.with_members(|members| {
         members.remove_expired(now);
         (members.liveness_changes(now), members.count_alive(now))
     });
-    gateway.metrics.gateways_living.set(living as i64);
-    if sightings.is_empty() {
+    gateway.metrics.gateways_living.set(alive as i64);
+    if changes.is_empty() {
         return;
     }
-    let line: Vec<String> = sightings.iter().map(LivenessChange::to_string).collect();
-    gateway.journal.state(format_args!("{living} gateways live: {}", line.join(", ")));
+    let lines: Vec<String> = changes.iter().map(LivenessChange::to_string).collect();
+    gateway.journal.state(format_args!("{alive} gateways alive: {}", lines.join(", ")));
 }
 
 async fn exchange<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     address: SocketAddr,
-    kept: Option<Socket>,
+    idle: Option<Socket>,
 ) -> eyre::Result<Socket> {
-    let mut socket = match kept {
+    let mut socket = match idle {
         Some(socket) => socket,
         None => connect(address, EXCHANGE_TIMEOUT).await?,
     };
-    let asked_at = gateway.now();
+    let sent_at = gateway.now();
     let reply = round_trip(&mut socket, &opening_message(gateway)).await?;
-    apply_reply(gateway, &reply, asked_at);
-    // What the other lacks, it is given at once.
+    apply_reply(gateway, &reply, sent_at);
+    // The reply shows what the peer lacks; that is sent at once.
     if let Some(follow_up) = follow_up(gateway, &reply) {
-        let asked_at = gateway.now();
-        apply_reply(gateway, &round_trip(&mut socket, &follow_up).await?, asked_at);
+        let sent_at = gateway.now();
+        apply_reply(gateway, &round_trip(&mut socket, &follow_up).await?, sent_at);
     }
     Ok(socket)
 }
@@ -227,13 +234,13 @@
     Ok(tokio_tungstenite::client_async(format!("ws://{address}/"), stream).await?.0)
 }
 
-/// Sends news, and returns the reply.
-pub(crate) async fn round_trip(socket: &mut Socket, news: &PeerNews) -> eyre::Result<PeerNews> {
-    socket.send(encode(news)).await?;
+/// Sends a message, and returns the reply to it.
+pub(crate) async fn round_trip(socket: &mut Socket, request: &PeerNews) -> eyre::Result<PeerNews> {
+    socket.send(encode(request)).await?;
     while let Some(message) = socket.next().await {
         if let Message::Binary(bytes) = message? {
             return decode(bytes);
         }
     }
-    Err(eyre::eyre!("the connection was closed"))
+    Err(eyre::eyre!("the peer closed the connection before its reply"))
 }
--- a/crates/direct/src/peers/connection_pool.rs
+++ b/crates/direct/src/peers/connection_pool.rs
@@ -1,4 +1,6 @@
-//! Connections to other gateways that are kept from one exchange to the next.
+//! Pool of idle connections to other gateways.
+//! Input: connections that an exchange has finished with. State: up to a maximum of idle ones.
+//! It decides whether an exchange reuses a connection, and which one to close when it is full.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -8,21 +10,22 @@
 
 use crate::peers::Socket;
 
-/// Idle connections, so many at most.
+/// Idle connections, up to a maximum number.
 pub(crate) struct ConnectionPool {
-    most: usize,
-    /// The one used last at the end.
-    kept: RefCell<VecDeque<(SocketAddr, Socket)>>,
+    max_idle: usize,
+    /// The most recently used one is the last.
+    idle: RefCell<VecDeque<(SocketAddr, Socket)>>,
 }
 
 impl ConnectionPool {
-    /// None yet, and at most `most` of them.
-    pub(crate) fn new(most: usize) -> ConnectionPool {
-        ConnectionPool { most, kept: RefCell::default() }
+    /// An empty pool for at most this number of connections.
+    pub(crate) fn new(max_idle: usize) -> ConnectionPool {
+        ConnectionPool { max_idle, idle: RefCell::default() }
     }
 
-    /// Exchanges something over the connection that is kept to an address, if there is one, else over a new one; once
-    /// more over a new one where the kept one fails: the other may have been restarted since.
+    /// Runs `exchange` over an idle connection to an address, or over a new one if there is none. If
+    /// the exchange over an idle connection fails, it is retried once over a new one, since the
+    /// peer may have been restarted.
     ///
     /// # Errors
     ///
@@ -32,29 +35,29 @@
         address: SocketAddr,
         exchange: impl AsyncFn(Option<Socket>) -> Result<(Socket, T)>,
     ) -> Result<T> {
-        let kept = self.take(address);
-        let again = kept.is_some();
-        let mut done = exchange(kept).await;
-        if again && done.is_err() {
-            done = exchange(None).await;
+        let idle = self.take(address);
+        let reused = idle.is_some();
+        let mut result = exchange(idle).await;
+        if reused && result.is_err() {
+            result = exchange(None).await;
         }
-        let (socket, value) = done?;
-        self.keep(address, socket);
+        let (socket, value) = result?;
+        self.put_back(address, socket);
         Ok(value)
     }
 
     fn take(&self, address: SocketAddr) -> Option<Socket> {
-        let mut kept = self.kept.borrow_mut();
-        let place = kept.iter().position(|(known, _)| *known == address)?;
-        kept.remove(place).map(|(_, socket)| socket)
+        let mut idle = self.idle.borrow_mut();
+        let index = idle.iter().position(|(known, _)| *known == address)?;
+        idle.remove(index).map(|(_, socket)| socket)
     }
 
-    fn keep(&self, address: SocketAddr, socket: Socket) {
-        let mut kept = self.kept.borrow_mut();
-        if kept.len() >= self.most {
-            // The gateway at its other end may be long gone.
-            kept.pop_front();
+    fn put_back(&self, address: SocketAddr, socket: Socket) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() >= self.max_idle {
+            // The least recently used one: its gateway may not exist any more.
+            idle.pop_front();
         }
-        kept.push_back((address, socket));
+        idle.push_back((address, socket));
     }
 }
--- a/crates/direct/src/peers/messages.rs
+++ b/crates/direct/src/peers/messages.rs
@@ -1,4 +1,9 @@
-//! What gateways tell each other, between its form on the link and the core's own types.
+//! Gossip messages: translates between their form on the wire and the types of the core.
+//! Input: messages of peers, and what this gateway knows. It has no state of its own.
+//! It decides what each message contains: what the peer lacks, and what this gateway lacks.
+//!
+//! An exchange has up to four messages: [`opening_message`], [`reply`], and if one side still
+//! lacks anything, [`follow_up`] and the reply to it. All of them are a [`PeerNews`].
 
 use std::iter;
 
@@ -39,109 +44,118 @@
 use crate::platform::Platform;
 use crate::platform::Table;
 
-/// Nesting of a message; it is four levels deep.
+/// Limit of the nesting of a message. Messages are four levels deep.
 const DEPTH_LIMIT: usize = 16;
 
-/// Time after a standstill in which questions that came meanwhile are read.
+/// Time after a suspension of this process in which it reads messages that arrived during it.
 pub(crate) const LATE_READ_WINDOW: Millis = Millis(300);
 
-/// What is asked first: what this gateway knows.
+/// The first message of an exchange: what this gateway knows.
 pub(super) fn opening_message<P: Platform>(gateway: &Gateway<P>) -> PeerNews {
     let now = gateway.now();
     let (own, beats) =
         gateway.with_members(|members| (members.own_record(), members.heartbeats(now)));
-    PeerNews { members: vec![word_news(&own)], ..with_beats(own_news(gateway, None), &beats) }
+    PeerNews {
+        members: vec![record_to_wire(&own)],
+        ..with_heartbeats(own_state(gateway, None), &beats)
+    }
 }
 
-/// Takes what another gateway told, and returns the reply to it: what the other lacks and, if it told
-/// all that it knows, what this one knows and lacks.
-pub(super) fn reply<P: Platform>(gateway: &Gateway<P>, asked: &PeerNews) -> PeerNews {
+/// Applies a message of another gateway, and returns the reply: what the sender lacks and, if the
+/// message lists all heartbeats that the sender knows, also what this gateway knows and lacks.
+pub(super) fn reply<P: Platform>(gateway: &Gateway<P>, request: &PeerNews) -> PeerNews {
     let now = gateway.now();
-    // It may have waited as long as this process stood still.
-    let waited = gateway.stood_still(LATE_READ_WINDOW).unwrap_or(Millis::ZERO);
-    if let Some(permits) = &asked.permits_asked {
-        gateway.take_limits(&received_limits(asked, now, waited));
+    // The message may have waited for as long as this process was suspended.
+    let delay = gateway.stood_still(LATE_READ_WINDOW).unwrap_or(Millis::ZERO);
+    if let Some(permits) = &request.permits_asked {
+        gateway.take_limits(&received_limits(request, now, delay));
         return permits::reply(gateway, permits);
     }
-    let told = beats_of(asked, waited);
-    let unknown = take_told(gateway, asked, &told, waited);
-    let news = own_news(gateway, Some(asked));
-    let wanted: Vec<CrashReportId> = asked.crashes_wanted.iter().map(sighting).collect();
+    let received = received_heartbeats(request, delay);
+    let unknown = apply_message(gateway, request, &received, delay);
+    let message = own_state(gateway, Some(request));
+    let wanted: Vec<CrashReportId> = request.crashes_wanted.iter().map(report_id).collect();
     let crashes = gateway.with_crashes(|crashes| crashes.reports_by_id(&wanted, now));
-    let news = PeerNews { crashes: crashes.iter().map(crash_news).collect(), ..news };
-    if told.is_empty() {
-        return news;
+    let message = PeerNews { crashes: crashes.iter().map(crash_to_wire).collect(), ..message };
+    if received.is_empty() {
+        return message;
     }
-    let differs = asked.crash_digest_number != news.crash_digest_number;
-    let news = if differs { with_known_crashes(gateway, news, now) } else { news };
-    let (lacking, beats) = gateway.with_members(|members| {
-        (members.records_missing_from(&told, now), members.heartbeats(now))
+    let differs = request.crash_digest_number != message.crash_digest_number;
+    let message = if differs { with_known_crashes(gateway, message, now) } else { message };
+    let (missing, beats) = gateway.with_members(|members| {
+        (members.records_missing_from(&received, now), members.heartbeats(now))
     });
     PeerNews {
-        members: lacking.iter().map(word_news).collect(),
-        wanted_numbers: unknown.iter().map(|life| life.0).collect(),
-        ..with_beats(news, &beats)
+        members: missing.iter().map(record_to_wire).collect(),
+        wanted_numbers: unknown.iter().map(|incarnation| incarnation.0).collect(),
+        ..with_heartbeats(message, &beats)
     }
 }
 
-/// What the other was found to lack by its reply, if anything.
+/// What the peer lacks according to its reply, if anything.
 pub(super) fn follow_up<P: Platform>(gateway: &Gateway<P>, reply: &PeerNews) -> Option<PeerNews> {
     let wanted: Vec<IncarnationId> =
         reply.wanted_numbers.iter().copied().map(IncarnationId).collect();
     let now = gateway.now();
     let members = gateway.with_members(|members| members.records_of(&wanted, now));
-    let news = own_news(gateway, Some(reply));
-    let news = with_lacking_crashes(gateway, news, reply, now);
-    let has_crashes = !news.crashes.is_empty() || !news.crashes_wanted.is_empty();
-    let has_tables = !news.news.is_empty() || news.configuration_kept.is_some();
-    let lacks_nothing = members.is_empty() && !has_tables && !has_crashes;
-    let members = members.iter().map(word_news).collect();
-    (!lacks_nothing).then_some(PeerNews { members, ..news })
+    let message = own_state(gateway, Some(reply));
+    let message = with_missing_crashes(gateway, message, reply, now);
+    let has_crashes = !message.crashes.is_empty() || !message.crashes_wanted.is_empty();
+    let has_tables = !message.news.is_empty() || message.configuration_kept.is_some();
+    let nothing_missing = members.is_empty() && !has_tables && !has_crashes;
+    let members = members.iter().map(record_to_wire).collect();
+    (!nothing_missing).then_some(PeerNews { members, ..message })
 }
 
-/// News with the crashes that are known, to one that knows others.
-fn with_known_crashes<P: Platform>(gateway: &Gateway<P>, news: PeerNews, now: Millis) -> PeerNews {
+/// Adds the known crashes to a message, for a peer that knows other ones.
+fn with_known_crashes<P: Platform>(
+    gateway: &Gateway<P>,
+    message: PeerNews,
+    now: Millis,
+) -> PeerNews {
     let (known, cleared) =
         gateway.with_crashes(|crashes| (crashes.report_digests(now), crashes.cleared(now)));
     PeerNews {
         crashes_known: known
             .iter()
-            .map(|((server, by), digest)| [server.0, by.0, *digest])
+            .map(|((server, reporter), digest)| [server.0, reporter.0, *digest])
             .collect(),
-        cleared: cleared.iter().map(cleared_news).collect(),
-        ..news
+        cleared: cleared.iter().map(cleared_to_wire).collect(),
+        ..message
     }
 }
 
-/// News with the crashes that the other lacks by its reply, asking for those that this gateway lacks.
-fn with_lacking_crashes<P: Platform>(
+/// Adds the crashes that the peer lacks according to its reply, and requests those that this gateway
+/// lacks.
+fn with_missing_crashes<P: Platform>(
     gateway: &Gateway<P>,
-    news: PeerNews,
+    message: PeerNews,
     reply: &PeerNews,
     now: Millis,
 ) -> PeerNews {
-    if reply.crash_digest_number == news.crash_digest_number {
-        return news;
+    if reply.crash_digest_number == message.crash_digest_number {
+        return message;
     }
     let known = reply.crashes_known.iter();
     let known: Vec<_> =
-        known.map(|&[server, by, digest]| (sighting(&[server, by]), digest)).collect();
-    let ((lacking, wanted), cleared) =
+        known.map(|&[server, reporter, digest]| (report_id(&[server, reporter]), digest)).collect();
+    let ((missing, wanted), cleared) =
         gateway.with_crashes(|crashes| (crashes.compare(&known, now), crashes.cleared(now)));
     PeerNews {
-        crashes: lacking.iter().map(crash_news).collect(),
-        crashes_wanted: wanted.iter().map(|(server, by)| [server.0, by.0]).collect(),
-        cleared: cleared.iter().map(cleared_news).collect(),
-        ..news
+        crashes: missing.iter().map(crash_to_wire).collect(),
+        crashes_wanted: wanted.iter().map(|(server, reporter)| [server.0, reporter.0]).collect(),
+        cleared: cleared.iter().map(cleared_to_wire).collect(),
+        ..message
     }
 }
 
-fn sighting(&[server, by]: &[u64; 2]) -> CrashReportId {
-    (ServerIncarnation(server), Reporter(by))
+fn report_id(&[server, reporter]: &[u64; 2]) -> CrashReportId {
+    (ServerIncarnation(server), Reporter(reporter))
 }
 
-/// How far a request was, as gateways tell each other; those that know two stages take the last for the second.
-fn stage_number(stage: Stage) -> u64 {
+/// The number of a stage on the wire. Gateways that know only two stages read the last one as the
+/// second.
+fn stage_to_wire(stage: Stage) -> u64 {
     match stage {
         Stage::Waiting => 0,
         Stage::Running => 1,
@@ -149,7 +163,7 @@
     }
 }
 
-fn stage_of(number: u64) -> Stage {
+fn stage_from_wire(number: u64) -> Stage {
     match number {
         0 => Stage::Waiting,
         2 => Stage::Starting,
@@ -157,9 +171,9 @@
     }
 }
 
-fn crash_news(crash: &Crash) -> CrashNews {
+fn crash_to_wire(crash: &Crash) -> CrashNews {
     let suspects = crash.suspects.iter();
-    let suspects = suspects.map(|one| [one.fingerprint.0, one.ran.0, stage_number(one.stage)]);
+    let suspects = suspects.map(|one| [one.fingerprint.0, one.ran.0, stage_to_wire(one.stage)]);
     CrashNews {
         server_number: crash.server.0,
         reporter_number: crash.reporter.0,
@@ -168,31 +182,32 @@
     }
 }
 
-fn crash(news: &CrashNews, waited: Millis) -> Crash {
-    let suspects = news.suspects.iter().map(|&[fingerprint, ran_ms, stage]| Suspect {
+fn crash_from_wire(message: &CrashNews, delay: Millis) -> Crash {
+    let suspects = message.suspects.iter().map(|&[fingerprint, ran_ms, stage]| Suspect {
         fingerprint: Fingerprint(fingerprint),
         ran: Millis(ran_ms),
-        stage: stage_of(stage),
+        stage: stage_from_wire(stage),
     });
     Crash {
-        server: ServerIncarnation(news.server_number),
-        reporter: Reporter(news.reporter_number),
-        age: Millis(news.age_ms) + waited,
+        server: ServerIncarnation(message.server_number),
+        reporter: Reporter(message.reporter_number),
+        age: Millis(message.age_ms) + delay,
         suspects: suspects.collect(),
     }
 }
 
-fn cleared_news(cleared: &Cleared) -> [u64; 2] {
+fn cleared_to_wire(cleared: &Cleared) -> [u64; 2] {
     [cleared.fingerprint.0, cleared.age.0]
 }
 
-/// What this gateway knows of tables and findings, and what the other lacks by what it told.
-fn own_news<P: Platform>(gateway: &Gateway<P>, other: Option<&PeerNews>) -> PeerNews {
+/// What this gateway knows of tables, slow servers, crashes and limits, with the table updates that
+/// the peer lacks according to its message.
+fn own_state<P: Platform>(gateway: &Gateway<P>, other: Option<&PeerNews>) -> PeerNews {
     let known = other.into_iter().flat_map(|other| &other.known);
-    let lacks = known.filter_map(|known| {
+    let updates = known.filter_map(|known| {
         let revision = Revision { era: known.era_number, count: known.revision };
         let update = gateway.since(Table::of_name(&known.table)?, revision)?;
-        Some(table_news(&known.table, update))
+        Some(update_to_wire(&known.table, update))
     });
     let now = gateway.now();
     let limits = gateway.with_pool(|pool| pool.advertised_limits(now));
@@ -203,19 +218,23 @@
                 TableKnown { table: table.name().to_owned(), era_number: era, revision: count }
             })
             .to_vec(),
-        news: lacks.collect(),
+        news: updates.collect(),
         configuration_version: gateway.serving().version,
         configuration_kept: other
             .and_then(|other| gateway.kept_for(other.configuration_version))
-            .map(|update| table_news(Table::Configuration.name(), update)),
-        slow: gateway.with_findings(|findings| findings.current(now).map(slow_servers).collect()),
+            .map(|update| update_to_wire(Table::Configuration.name(), update)),
+        slow: gateway
+            .with_findings(|findings| findings.current(now).map(slow_servers_to_wire).collect()),
         crash_digest_number: gateway.with_crashes(|crashes| crashes.digest(now)),
-        limits: limits.iter().map(|(server, said)| limit_news(*server, said, now)).collect(),
+        limits: limits
+            .iter()
+            .map(|(server, advertised)| limit_to_wire(*server, advertised, now))
+            .collect(),
         ..empty_message()
     }
 }
 
-/// News that tell nothing.
+/// A message without content.
 pub(crate) fn empty_message() -> PeerNews {
     PeerNews {
         members: Vec::new(),
@@ -238,97 +257,105 @@
     }
 }
 
-/// Stands for no limit.
+/// Means on the wire that a server has no limit any more.
 const NO_LIMIT: u64 = u64::MAX;
 
-fn limit_news(server: ServerIncarnation, said: &LimitAdvertisement, now: Millis) -> [u64; 4] {
-    let limit = said.limit.map_or(NO_LIMIT, |limit| limit.in_1000_s);
-    [server.0, limit, now.since(said.latest).0, now.since(said.earliest).0]
+fn limit_to_wire(
+    server: ServerIncarnation,
+    advertised: &LimitAdvertisement,
+    now: Millis,
+) -> [u64; 4] {
+    let limit = advertised.limit.map_or(NO_LIMIT, |limit| limit.in_1000_s);
+    [server.0, limit, now.since(advertised.latest).0, now.since(advertised.earliest).0]
 }
 
-/// What a server said of its limit, as it is told.
+/// The limit that a server advertised, as an entry of a message; empty if none is known.
 pub(crate) fn limit_entries<P: Platform>(
     gateway: &Gateway<P>,
     server: ServerIncarnation,
 ) -> Vec<[u64; 4]> {
     let now = gateway.now();
-    let said = gateway.with_pool(|pool| pool.advertised_limit(server));
-    said.iter().map(|said| limit_news(server, said, now)).collect()
+    let advertised = gateway.with_pool(|pool| pool.advertised_limit(server));
+    advertised.iter().map(|advertised| limit_to_wire(server, advertised, now)).collect()
 }
 
-/// What another gateway told of limits, in an reply that was waited for so long.
+/// The limits in a message of another gateway. Each was received by that gateway up to `delay`, plus
+/// an allowance for the transit, earlier than the ages in the message say.
 pub(crate) fn received_limits(
-    news: &PeerNews,
+    message: &PeerNews,
     now: Millis,
-    waited: Millis,
+    delay: Millis,
 ) -> Vec<(ServerIncarnation, LimitAdvertisement)> {
-    let told = news.limits.iter().map(|&[server, in_1000_s, latest_ms, earliest_ms]| {
+    let received = message.limits.iter().map(|&[server, in_1000_s, latest_ms, earliest_ms]| {
         let limit = (in_1000_s != NO_LIMIT).then_some(Rate { in_1000_s });
         let latest = now - Millis(latest_ms);
-        let earliest = now - (Millis(earliest_ms) + waited + TRANSIT_ALLOWANCE);
+        let earliest = now - (Millis(earliest_ms) + delay + TRANSIT_ALLOWANCE);
         (ServerIncarnation(server), LimitAdvertisement { limit, earliest, latest })
     });
-    told.collect()
+    received.collect()
 }
 
-fn slow_servers((service, finding): (&str, SlowServerReport)) -> SlowServers {
+fn slow_servers_to_wire((service, report): (&str, SlowServerReport)) -> SlowServers {
     SlowServers {
-        age_ms: finding.age.0,
+        age_ms: report.age.0,
         service: service.to_owned(),
-        lead_fence_number: finding.fencing_token,
-        finding_number: finding.number,
-        servers: finding.servers,
+        lead_fence_number: report.fencing_token,
+        finding_number: report.number,
+        servers: report.servers,
     }
 }
 
-/// Takes what another gateway answered to what was asked at a time. The reply may have waited since,
-/// as this process may have stood still: what it tells is older by so much at the most.
-pub(super) fn apply_reply<P: Platform>(gateway: &Gateway<P>, news: &PeerNews, asked_at: Millis) {
-    let waited = gateway.now().since(asked_at);
-    // Whoever it names and this gateway did not know comes with the reply.
-    take_told(gateway, news, &beats_of(news, waited), waited);
+/// Applies the reply to a message that was sent at `sent_at`. The reply may have waited since then,
+/// as this process may have been suspended. Its content is older by at most that time, which is
+/// added to the ages in it.
+pub(super) fn apply_reply<P: Platform>(gateway: &Gateway<P>, message: &PeerNews, sent_at: Millis) {
+    let delay = gateway.now().since(sent_at);
+    // Gateways that are not known here need no request: the reply has their records, too.
+    apply_message(gateway, message, &received_heartbeats(message, delay), delay);
 }
 
-/// Takes what another gateway told so long ago, with these beats; returns the lives among them that are
-/// not known.
-fn take_told<P: Platform>(
+/// Applies a message that another gateway sent up to `delay` ago, with these heartbeats. Returns the
+/// incarnations of the heartbeats that are not known here.
+fn apply_message<P: Platform>(
     gateway: &Gateway<P>,
-    news: &PeerNews,
+    message: &PeerNews,
     beats: &[Heartbeat],
-    waited: Millis,
+    delay: Millis,
 ) -> Vec<IncarnationId> {
     let now = gateway.now();
     let unknown = gateway.with_members(|members| {
-        let told = news.members.iter().filter_map(|told| word(told, waited));
-        told.for_each(|word| members.apply_record(&word, now));
+        let received =
+            message.members.iter().filter_map(|received| record_from_wire(received, delay));
+        received.for_each(|record| members.apply_record(&record, now));
         members.apply_heartbeats(beats, now)
     });
-    for told in &news.slow {
-        let (fence, number) = (told.lead_fence_number, told.finding_number);
-        let age = Millis(told.age_ms) + waited;
-        let finding =
-            SlowServerReport { fencing_token: fence, number, servers: told.servers.clone(), age };
-        gateway.take_finding(&told.service, &finding);
+    for received in &message.slow {
+        let (fencing_token, number) = (received.lead_fence_number, received.finding_number);
+        let age = Millis(received.age_ms) + delay;
+        let report =
+            SlowServerReport { fencing_token, number, servers: received.servers.clone(), age };
+        gateway.take_finding(&received.service, &report);
     }
-    let crashes: Vec<Crash> = news.crashes.iter().map(|told| crash(told, waited)).collect();
-    let cleared = news.cleared.iter().map(|&[fingerprint, age_ms]| Cleared {
+    let crashes: Vec<Crash> =
+        message.crashes.iter().map(|received| crash_from_wire(received, delay)).collect();
+    let cleared = message.cleared.iter().map(|&[fingerprint, age_ms]| Cleared {
         fingerprint: Fingerprint(fingerprint),
-        age: Millis(age_ms) + waited,
+        age: Millis(age_ms) + delay,
     });
     gateway.take_crashes(&crashes, &cleared.collect::<Vec<_>>());
-    gateway.take_limits(&received_limits(news, now, waited));
-    for table_news in &news.news {
-        if let Some(table) = Table::of_name(&table_news.table) {
-            gateway.take(table, &update(table_news), "peer");
+    gateway.take_limits(&received_limits(message, now, delay));
+    for table_update in &message.news {
+        if let Some(table) = Table::of_name(&table_update.table) {
+            gateway.take(table, &update_from_wire(table_update), "peer");
         }
     }
-    if let Some(kept) = &news.configuration_kept {
-        gateway.take_kept(&update(kept));
+    if let Some(stored) = &message.configuration_kept {
+        gateway.take_kept(&update_from_wire(stored));
     }
     unknown
 }
 
-fn table_news(table: &str, update: Update) -> TableNews {
+fn update_to_wire(table: &str, update: Update) -> TableNews {
     let changes = update.changes.into_iter().map(|change| TableChange {
         key: change.key,
         revision: change.revision,
@@ -343,55 +370,57 @@
     }
 }
 
-fn update(news: &TableNews) -> Update {
-    let changes = news.changes.iter().map(|change| Change {
+fn update_from_wire(message: &TableNews) -> Update {
+    let changes = message.changes.iter().map(|change| Change {
         key: change.key.clone(),
         revision: change.revision,
         value: change.value.clone(),
     });
-    let revision = Revision { era: news.era_number, count: news.revision };
-    Update { revision, whole: news.whole, changes: changes.collect() }
+    let revision = Revision { era: message.era_number, count: message.revision };
+    Update { revision, whole: message.whole, changes: changes.collect() }
 }
 
-/// Readiness as a state names it, from 0 on.
+/// Readiness by its number on the wire, from 0 on.
 const STATES: [Readiness; 3] = [Readiness::Starting, Readiness::Ready, Readiness::Leaving];
 
-/// Added to a state where the store answers.
-const ANSWERS: u64 = 4;
+/// Added to the number of a state if the store answers the gateway.
+const STORE_ANSWERS_FLAG: u64 = 4;
 
-fn beat_news(beat: &Heartbeat) -> [u64; 4] {
-    let place = STATES.iter().position(|readiness| *readiness == beat.readiness);
-    let answers = if beat.store_answers { ANSWERS } else { 0 };
-    let state = place.unwrap_or_default() as u64 + answers;
+fn heartbeat_to_wire(beat: &Heartbeat) -> [u64; 4] {
+    let index = STATES.iter().position(|readiness| *readiness == beat.readiness);
+    let answers = if beat.store_answers { STORE_ANSWERS_FLAG } else { 0 };
+    let state = index.unwrap_or_default() as u64 + answers;
     [beat.incarnation_id.0, beat.heartbeat, state, beat.leader_fencing_token]
 }
 
-/// News with these beats.
-fn with_beats(news: PeerNews, beats: &[Heartbeat]) -> PeerNews {
+/// Adds heartbeats to a message.
+fn with_heartbeats(message: PeerNews, beats: &[Heartbeat]) -> PeerNews {
     PeerNews {
-        beats: beats.iter().map(beat_news).collect(),
+        beats: beats.iter().map(heartbeat_to_wire).collect(),
         beat_ages_ms: beats.iter().map(|beat| beat.age.0).collect(),
-        ..news
+        ..message
     }
 }
 
-/// The beats that were told, each older by `waited` than it says. A gateway of an earlier version tells
+/// The heartbeats in a message, with `delay` added to each age. A gateway of an earlier version sends
 /// no ages.
-fn beats_of(news: &PeerNews, waited: Millis) -> Vec<Heartbeat> {
-    let ages = news.beat_ages_ms.iter().copied().chain(iter::repeat(0));
-    let told = news.beats.iter().zip(ages);
-    told.filter_map(|(told, age_ms)| beat(told, Millis(age_ms) + waited)).collect()
+fn received_heartbeats(message: &PeerNews, delay: Millis) -> Vec<Heartbeat> {
+    let ages = message.beat_ages_ms.iter().copied().chain(iter::repeat(0));
+    let received = message.beats.iter().zip(ages);
+    received
+        .filter_map(|(received, age_ms)| heartbeat_from_wire(received, Millis(age_ms) + delay))
+        .collect()
 }
 
-/// The reverse; `None` for a state of a later version.
-fn beat(
-    &[life, heartbeat, state, leader_fencing_token]: &[u64; 4],
+/// Reverse of [`heartbeat_to_wire`]; `None` for a state of a later version.
+fn heartbeat_from_wire(
+    &[incarnation, heartbeat, state, leader_fencing_token]: &[u64; 4],
     age: Millis,
 ) -> Option<Heartbeat> {
-    let readiness = *STATES.get((state % ANSWERS) as usize)?;
-    let store_answers = state / ANSWERS == 1;
+    let readiness = *STATES.get((state % STORE_ANSWERS_FLAG) as usize)?;
+    let store_answers = state / STORE_ANSWERS_FLAG == 1;
     Some(Heartbeat {
-        incarnation_id: IncarnationId(life),
+        incarnation_id: IncarnationId(incarnation),
         heartbeat,
         readiness,
         store_answers,
@@ -400,15 +429,15 @@
     })
 }
 
-fn word_news(word: &MemberRecord) -> MemberNews {
-    MemberNews { age_ms: word.age.0, ..member_news(&word.member) }
+fn record_to_wire(record: &MemberRecord) -> MemberNews {
+    MemberNews { age_ms: record.age.0, ..member_to_wire(&record.member) }
 }
 
-fn word(news: &MemberNews, waited: Millis) -> Option<MemberRecord> {
-    Some(MemberRecord { member: member(news)?, age: Millis(news.age_ms) + waited })
+fn record_from_wire(message: &MemberNews, delay: Millis) -> Option<MemberRecord> {
+    Some(MemberRecord { member: member_from_wire(message)?, age: Millis(message.age_ms) + delay })
 }
 
-fn member_news(member: &Member) -> MemberNews {
+fn member_to_wire(member: &Member) -> MemberNews {
     MemberNews {
         age_ms: 0,
         name: member.name.clone(),
@@ -428,48 +457,48 @@
     }
 }
 
-fn member(news: &MemberNews) -> Option<Member> {
+fn member_from_wire(message: &MemberNews) -> Option<Member> {
     Some(Member {
-        name: news.name.clone(),
-        incarnation: news.incarnation,
-        heartbeat: news.heartbeat_number,
-        callers_at: news.callers_at.parse().ok()?,
-        peers_at: news.peers_at.parse().ok()?,
-        data_centre: news.data_centre.clone(),
-        memory_bytes: news.memory_bytes,
-        readiness: match news.readiness {
+        name: message.name.clone(),
+        incarnation: message.incarnation,
+        heartbeat: message.heartbeat_number,
+        callers_at: message.callers_at.parse().ok()?,
+        peers_at: message.peers_at.parse().ok()?,
+        data_centre: message.data_centre.clone(),
+        memory_bytes: message.memory_bytes,
+        readiness: match message.readiness {
             schema::Readiness::Starting => Readiness::Starting,
             schema::Readiness::Ready => Readiness::Ready,
             schema::Readiness::Leaving => Readiness::Leaving,
         },
-        store_answers: news.store_answers,
-        leader_fencing_token: news.lead_fence_number,
+        store_answers: message.store_answers,
+        leader_fencing_token: message.lead_fence_number,
     })
 }
 
-/// A gateway as it stands in [`Table::Members`].
+/// A gateway as the value of its row in [`Table::Members`].
 pub(crate) fn member_to_json(member: &Member) -> String {
-    // The type has only fields that JSON can hold.
-    serde_json::to_string(&member_news(member)).unwrap_or_default()
+    // All fields of the type can be represented in JSON.
+    serde_json::to_string(&member_to_wire(member)).unwrap_or_default()
 }
 
-/// The gateway that a value of [`Table::Members`] lists.
+/// The gateway in the value of a row of [`Table::Members`].
 pub(crate) fn member_from_json(text: &str) -> Option<Member> {
-    member(&serde_json::from_str::<MemberNews>(text).ok()?)
+    member_from_wire(&serde_json::from_str::<MemberNews>(text).ok()?)
 }
 
-/// News as they cross a link.
-pub(super) fn encode(news: &PeerNews) -> Message {
+/// Encodes a message for the wire.
+pub(super) fn encode(message: &PeerNews) -> Message {
     let mut bytes = Vec::new();
-    ciborium::into_writer(news, &mut bytes).expect("news are representable in CBOR");
+    ciborium::into_writer(message, &mut bytes).expect("messages are representable in CBOR");
     Message::Binary(Bytes::from(bytes))
 }
 
-/// The reverse.
+/// Decodes a message from the wire.
 ///
 /// # Errors
 ///
-/// These bytes are no news.
+/// The bytes are not a message.
 pub(super) fn decode(bytes: Bytes) -> eyre::Result<PeerNews> {
     Ok(ciborium::de::from_reader_with_recursion_limit(bytes.as_ref(), DEPTH_LIMIT)?)
 }
