--- a/crates/direct/src/compression.rs
+++ b/crates/direct/src/compression.rs
@@ -1,4 +1,6 @@
-//! Bodies that are made smaller on the way between a gateway and the process beside a server.
+//! Compression of bodies between a gateway and the sidecar of a backend server.
+//! Input: a body, or a compressed body with a limit of its size. It has no state.
+//! It rejects bodies that are malformed or too large after decompression.
 
 use std::io::Read;
 use std::io::Write;
@@ -8,31 +10,33 @@
 use flate2::read::ZlibDecoder;
 use flate2::write::ZlibEncoder;
 
-/// Value of the header `content-encoding` of a packed body.
+/// Value of the header `content-encoding` of a compressed body.
 pub(crate) const ENCODING: &str = "deflate";
 
-/// Size from which a body is packed, in bytes: one that is smaller fits into a packet as it is.
+/// Size from which a body is compressed. A smaller one fits into one packet as it is.
 pub(crate) const COMPRESS_FROM_BYTES: usize = 1_024;
 
-/// Makes a body smaller. A map of 16 sets on 96 ranks has 17.9 kB as text and 6.6 kB packed; at the
+/// Compresses a body. A map of 16 sets on 96 ranks has 17.9 kB as text and 6.6 kB compressed; at the
 /// fastest level it has 7.6 kB.
 pub(crate) fn compress(body: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::default());
-    // Writing to a vector does not fail.
-    let packed = encoder.write_all(body).and_then(|()| encoder.finish());
-    packed.map(Bytes::from).unwrap_or_default()
+    // Writes to a vector do not fail.
+    let compressed = encoder.write_all(body).and_then(|()| encoder.finish());
+    compressed.map(Bytes::from).unwrap_or_default()
 }
 
-/// The reverse, of a body with at most so many bytes.
+/// Decompresses a body of at most `max_bytes` decompressed bytes.
 ///
 /// # Errors
 ///
-/// It was not packed here, or is larger.
-pub(crate) fn decompress(packed: &[u8], most: usize) -> eyre::Result<Bytes> {
+/// The input is not compressed in this format, or the body is larger.
+pub(crate) fn decompress(compressed: &[u8], max_bytes: usize) -> eyre::Result<Bytes> {
     let mut body = Vec::new();
-    ZlibDecoder::new(packed).take(most as u64 + 1).read_to_end(&mut body)?;
-    if body.len() > most {
-        return Err(eyre::eyre!("a packed body has more than {most} bytes"));
+    ZlibDecoder::new(compressed).take(max_bytes as u64 + 1).read_to_end(&mut body)?;
+    if body.len() > max_bytes {
+        return Err(eyre::eyre!(
+            "a compressed body has more than {max_bytes} bytes when decompressed"
+        ));
     }
     Ok(Bytes::from(body))
 }
--- a/crates/direct/src/crash_sync.rs
+++ b/crates/direct/src/crash_sync.rs
@@ -1,8 +1,11 @@
-//! Keeps on the platform which requests crash servers, for gateways that start later.
+//! Sync task for the platform's table of requests that crash servers.
+//! Input: the crashes known to this gateway, and the rows of the table. State: the stored rows.
+//! It decides which rows to write and to remove, and when.
 //!
-//! Gateways tell each other of crashes; the platform's table is for the case that all of them are replaced
-//! at once. Only requests that were at two crashes and more are kept there, by the gateways that saw one of
-//! them: a few calls for each request that crashes servers, and none on other days but one at each start.
+//! Gateways gossip crashes; the table serves gateways that start after all others were replaced at
+//! once. It contains only requests that were at two or more crashes, written by the gateways that
+//! observed one of these. This makes a few calls for each request that crashes servers, and
+//! otherwise only one call at each start.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,74 +19,75 @@
 use crate::platform::KeptCrashes;
 use crate::platform::Platform;
 
-/// Pause after a call that failed, doubled with each further one up to the longest: the store may be away for long,
-/// and refused calls are priced. What is kept is for a restart of all gateways, which mostly comes later.
-const PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+/// Pause after a failed call. Each further failure doubles it up to the maximum, since the store may be
+/// unavailable for long and refused calls have a price. The rows are needed only after a restart of
+/// all gateways, which mostly comes later.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
 
-/// Time between two looks at what is too old.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
+/// Time between two checks for expired rows.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Most rows that are written or removed at once; the store takes 100.
-const MOST_ROWS: usize = 50;
+/// Maximum number of rows that one call writes, and that it removes. The store accepts 100 in all.
+const MAX_ROWS: usize = 50;
 
-/// Reads what is kept, then keeps it up to date until the process ends.
+/// Reads the stored rows, then keeps them up to date until the process ends.
 pub async fn sync_crashes<P: Platform>(gateway: Rc<Gateway<P>>) {
-    // How many crashes of each request are kept, as far as this gateway knows.
+    // Number of stored crashes of each request, as far as this gateway knows.
     let mut eras = gateway.watch_eras();
-    let mut kept: BTreeMap<Fingerprint, usize> = read(&gateway).await;
+    let mut stored: BTreeMap<Fingerprint, usize> = read(&gateway).await;
     let mut read_in = gateway.platform.store_era();
     loop {
         tokio::select! {
-            () = time::sleep(LOOK_EVERY) => {}
-            // What happens meanwhile leaves a permit.
+            () = time::sleep(EXPIRY_CHECK_INTERVAL) => {}
+            // A notification that arrives while this task is busy is not lost: `Notify` stores it.
             () = gateway.crashes_changed.notified() => {}
             _ = eras.wait_for(|era| *era > Some(read_in)) => {
-                // The store may have lost what was written, and have again what was removed.
-                if !kept.is_empty() || !gateway.crashes_to_keep().is_empty() {
+                // The store may have lost written rows, and may have removed rows again.
+                if !stored.is_empty() || !gateway.crashes_to_keep().is_empty() {
                     time::sleep(gateway.turn_to_write()).await;
-                    kept = read(&gateway).await;
+                    stored = read(&gateway).await;
                 }
                 read_in = gateway.era().unwrap_or_default();
             }
         }
-        let mut pauses = Pauses::default();
+        let mut pauses = RetryPauses::default();
         loop {
-            match write(&gateway, &mut kept).await {
-                Ok(Left::Nothing) => break,
-                Ok(Left::More) => {}
-                Err(failure) => pauses.next(&gateway, "kept", failure).await,
+            match write(&gateway, &mut stored).await {
+                Ok(Remaining::Nothing) => break,
+                Ok(Remaining::More) => {}
+                Err(failure) => pauses.next(&gateway, "written", failure).await,
             }
         }
     }
 }
 
-/// Pauses between calls that fail one after the other.
+/// Pauses between consecutive failed calls.
 #[derive(Default)]
-struct Pauses {
+struct RetryPauses {
     last: Option<Duration>,
 }
 
-impl Pauses {
+impl RetryPauses {
     /// Logs the first failure, and waits.
-    async fn next<P: Platform>(&mut self, gateway: &Gateway<P>, aim: &str, failure: Failure) {
+    async fn next<P: Platform>(&mut self, gateway: &Gateway<P>, action: &str, failure: Failure) {
         if self.last.is_none() {
-            gateway.journal.state(format_args!("crashes are not {aim}: {failure}"));
+            gateway.journal.state(format_args!("crash reports cannot be {action}: {failure}"));
         }
-        let pause = self.last.map_or(PAUSE, |last| LONGEST_PAUSE.min(2 * last));
+        let pause = self.last.map_or(RETRY_PAUSE, |last| MAX_RETRY_PAUSE.min(2 * last));
         self.last = Some(pause);
         time::sleep(pause).await;
     }
 }
 
-/// What is left to write.
-enum Left {
+/// Whether there is more to write.
+enum Remaining {
     Nothing,
     More,
 }
 
 async fn read<P: Platform>(gateway: &Gateway<P>) -> BTreeMap<Fingerprint, usize> {
-    let mut pauses = Pauses::default();
+    let mut pauses = RetryPauses::default();
     loop {
         match gateway.platform.read_crashes().await {
             Ok(rows) => {
@@ -94,7 +98,7 @@
                 return rows.iter().map(|row| (row.fingerprint, row.crashes.len())).collect();
             }
             Err(failure) => {
-                // Others will tell, if they know.
+                // Other gateways send the crashes that they know.
                 gateway.note_crashes_read();
                 pauses.next(gateway, "read", failure).await;
             }
@@ -102,22 +106,22 @@
     }
 }
 
-/// Writes what has changed, as much as goes at once.
+/// Writes and removes changed rows, as many as one call may contain.
 async fn write<P: Platform>(
     gateway: &Gateway<P>,
-    kept: &mut BTreeMap<Fingerprint, usize>,
-) -> Result<Left, Failure> {
+    stored: &mut BTreeMap<Fingerprint, usize>,
+) -> Result<Remaining, Failure> {
     let mut put: Vec<KeptCrashes> = gateway.crashes_to_keep();
-    put.retain(|row| kept.get(&row.fingerprint) != Some(&row.crashes.len()));
-    put.truncate(MOST_ROWS);
-    let worth = gateway.with_crashes(|crashes| crashes.repeat_suspects(gateway.now()));
-    let gone = kept.keys().filter(|fingerprint| !worth.contains(fingerprint));
-    let gone: Vec<Fingerprint> = gone.take(MOST_ROWS).copied().collect();
-    if put.is_empty() && gone.is_empty() {
-        return Ok(Left::Nothing);
+    put.retain(|row| stored.get(&row.fingerprint) != Some(&row.crashes.len()));
+    put.truncate(MAX_ROWS);
+    let wanted = gateway.with_crashes(|crashes| crashes.repeat_suspects(gateway.now()));
+    let expired = stored.keys().filter(|fingerprint| !wanted.contains(fingerprint));
+    let expired: Vec<Fingerprint> = expired.take(MAX_ROWS).copied().collect();
+    if put.is_empty() && expired.is_empty() {
+        return Ok(Remaining::Nothing);
     }
-    gateway.platform.write_crashes(&put, &gone).await?;
-    kept.extend(put.iter().map(|row| (row.fingerprint, row.crashes.len())));
-    kept.retain(|fingerprint, _| !gone.contains(fingerprint));
-    Ok(Left::More)
+    gateway.platform.write_crashes(&put, &expired).await?;
+    stored.extend(put.iter().map(|row| (row.fingerprint, row.crashes.len())));
+    stored.retain(|fingerprint, _| !expired.contains(fingerprint));
+    Ok(Remaining::More)
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -1,4 +1,6 @@
-//! Permits for servers that name a limit, asked of the gateway that gives them out, and given.
+//! Permits for backend servers with an advertised limit, requested from the granting gateway.
+//! Input: permit requests of this gateway and of its peers. State: granting gateways to skip.
+//! It decides which gateway to request permits from; the core decides how many are granted.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -32,38 +34,42 @@
 use crate::peers::messages::LATE_READ_WINDOW;
 use crate::platform::Platform;
 
-/// How long a gateway that gave no answer is passed by.
-const PASS_BY: Millis = Millis(3_000);
+/// Time for which a granting gateway that did not answer is skipped.
+const SKIP_FOR: Millis = Millis(3_000);
 
-/// Idle connections that are kept to whom permits are asked of.
-const MOST_KEPT: usize = 4;
+/// Maximum number of idle connections to granting gateways.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// The gateways that give out permits.
+/// Connections to the gateways that grant permits, and those gateways that are skipped.
 pub struct PermitGranters {
-    links: ConnectionPool,
-    /// Those that gave no answer, and until when each is passed by.
-    passed_by: RefCell<HashMap<IncarnationId, Millis>>,
+    connections: ConnectionPool,
+    /// Gateways that did not answer, with the time until which each is skipped.
+    skipped: RefCell<HashMap<IncarnationId, Millis>>,
 }
 
 impl Default for PermitGranters {
     fn default() -> Self {
-        PermitGranters { links: ConnectionPool::new(MOST_KEPT), passed_by: RefCell::default() }
+        PermitGranters {
+            connections: ConnectionPool::new(MAX_IDLE_CONNECTIONS),
+            skipped: RefCell::default(),
+        }
     }
 }
 
-/// What is asked for.
+/// The subject of a permit request.
 #[derive(Clone, Copy, Debug)]
 pub enum PermitRequest {
-    /// Nothing: the own part is handed over.
+    /// No permits: the own share is delegated to the granting gateway.
     ShareOnly,
-    /// Requests to a server, so many, and what all gateways together send it while it comes back from a rest.
+    /// A number of requests to a server, and the rate at which all gateways together may send to it
+    /// during its ramp-up after a back-off.
     Requests(ServerIncarnation, u32, Option<Rate>),
-    /// A trial of a request.
+    /// One trial of a request that is suspected of crashing servers.
     Trial(Fingerprint),
 }
 
 impl PermitRequest {
-    fn question(self, own: GatewayId, hands_over: bool) -> PermitsAsked {
+    fn message(self, own: GatewayId, hands_over: bool) -> PermitsAsked {
         let nothing = PermitsAsked {
             gateway_number: own.0,
             hands_over,
@@ -74,31 +80,31 @@
         };
         match self {
             PermitRequest::ShareOnly => nothing,
-            PermitRequest::Requests(server, wanted_requests, returning) => PermitsAsked {
+            PermitRequest::Requests(server, wanted_requests, ramp_up) => PermitsAsked {
                 server_number: Some(server.0),
                 wanted_requests,
-                returning_requests: returning.map(|rate| rate.in_1000_s),
+                returning_requests: ramp_up.map(|rate| rate.in_1000_s),
                 ..nothing
             },
-            PermitRequest::Trial(request) => {
-                PermitsAsked { trial_number: Some(request.0), ..nothing }
+            PermitRequest::Trial(fingerprint) => {
+                PermitsAsked { trial_number: Some(fingerprint.0), ..nothing }
             }
         }
     }
 }
 
-/// Who is asked.
-struct Giver {
-    life: IncarnationId,
-    at: SocketAddr,
+/// The gateway to request permits from.
+struct Granter {
+    incarnation: IncarnationId,
+    address: SocketAddr,
     is_own: bool,
 }
 
-/// Hands the own part over, as long as a server names a limit, until the process ends.
+/// Delegates the own share at intervals while any server has a limit, until the process ends.
 pub async fn run<P: Platform>(gateway: Rc<Gateway<P>>) {
     loop {
         while gateway.with_pool(|pool| pool.has_limits()) {
-            // In vain where nobody can be asked.
+            // Without a granting gateway this has no effect.
             let _ = request_permits(&gateway, PermitRequest::ShareOnly).await;
             time::sleep(Duration::from(DELEGATION_INTERVAL)).await;
         }
@@ -106,124 +112,130 @@
     }
 }
 
-/// Asks for permits; `None` if there is no answer.
+/// Requests permits; `None` if there is no answer.
 pub async fn request_permits<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     wanted: PermitRequest,
 ) -> Option<Grant> {
-    let giver = giver(gateway)?;
+    let granter = granter(gateway)?;
     let now = gateway.now();
     let own = GatewayId(gateway.with_members(|members| hash::of(&members.own().name)));
-    let hands_over = gateway.with_permits(|permits| permits.delegate_share(giver.life, now));
-    let asked = wanted.question(own, hands_over);
-    if giver.is_own {
-        return Some(give(gateway, &asked));
+    let hands_over =
+        gateway.with_permits(|permits| permits.delegate_share(granter.incarnation, now));
+    let request = wanted.message(own, hands_over);
+    if granter.is_own {
+        return Some(grant_locally(gateway, &request));
     }
-    let server = asked.server_number.map(ServerIncarnation);
+    let server = request.server_number.map(ServerIncarnation);
     let limits = server.map(|server| messages::limit_entries(gateway, server)).unwrap_or_default();
-    let question = PeerNews { permits_asked: Some(asked), limits, ..messages::empty_message() };
+    let message = PeerNews { permits_asked: Some(request), limits, ..messages::empty_message() };
     let exchanged =
-        time::timeout(Duration::from(ASK_TIMEOUT), exchange(gateway, giver.at, &question));
+        time::timeout(Duration::from(ASK_TIMEOUT), exchange(gateway, granter.address, &message));
     match exchanged.await {
-        Ok(Ok(given)) => Some(given),
+        Ok(Ok(granted)) => Some(granted),
         Ok(Err(_)) | Err(_) => {
-            gateway.journal.state(format_args!("{} gave no permits, and is passed by", giver.at));
-            let until = gateway.now() + PASS_BY;
-            gateway.permit_givers.passed_by.borrow_mut().insert(giver.life, until);
+            gateway.journal.state(format_args!(
+                "{} did not answer a permit request and is skipped",
+                granter.address
+            ));
+            let until = gateway.now() + SKIP_FOR;
+            gateway.permit_givers.skipped.borrow_mut().insert(granter.incarnation, until);
             None
         }
     }
 }
 
-/// The first of the gateways that live, but for those that gave no answer.
-fn giver<P: Platform>(gateway: &Gateway<P>) -> Option<Giver> {
+/// The first of the gateways that serve, except those that are skipped.
+fn granter<P: Platform>(gateway: &Gateway<P>) -> Option<Granter> {
     let now = gateway.now();
-    let mut passed_by = gateway.permit_givers.passed_by.borrow_mut();
-    passed_by.retain(|_, until| *until > now);
+    let mut skipped = gateway.permit_givers.skipped.borrow_mut();
+    skipped.retain(|_, until| *until > now);
     gateway.with_members(|members| {
         let order = members.serving_gateways(now);
-        let first = order.into_iter().find(|one| !passed_by.contains_key(&one.incarnation_id()))?;
+        let first =
+            order.into_iter().find(|member| !skipped.contains_key(&member.incarnation_id()))?;
         let is_own = first.name == members.own().name;
-        Some(Giver { life: first.incarnation_id(), at: first.peers_at, is_own })
+        Some(Granter { incarnation: first.incarnation_id(), address: first.peers_at, is_own })
     })
 }
 
 async fn exchange<P: Platform>(
     gateway: &Rc<Gateway<P>>,
-    at: SocketAddr,
-    question: &PeerNews,
+    address: SocketAddr,
+    message: &PeerNews,
 ) -> Result<Grant> {
-    let asked_at = gateway.now();
-    let over = async |kept| ask_over(kept, at, question).await;
-    let answer = gateway.permit_givers.links.exchange(at, over).await?;
+    let sent_at = gateway.now();
+    let attempt = async |idle| exchange_over(idle, address, message).await;
+    let reply = gateway.permit_givers.connections.exchange(address, attempt).await?;
     gateway.take_limits(&messages::received_limits(
-        &answer,
+        &reply,
         gateway.now(),
-        gateway.now().since(asked_at),
+        gateway.now().since(sent_at),
     ));
-    let given = answer.permits_given.ok_or_else(|| eyre!("it knows no permits"))?;
-    Ok(Grant { permits: given.permitted_requests, retry_in: Millis(given.again_in_ms) })
+    let granted = reply.permits_given.ok_or_else(|| eyre!("the reply contains no permits"))?;
+    Ok(Grant { permits: granted.permitted_requests, retry_in: Millis(granted.again_in_ms) })
 }
 
-async fn ask_over(
-    kept: Option<Socket>,
-    at: SocketAddr,
-    question: &PeerNews,
+async fn exchange_over(
+    idle: Option<Socket>,
+    address: SocketAddr,
+    message: &PeerNews,
 ) -> Result<(Socket, PeerNews)> {
-    let mut socket = match kept {
+    let mut socket = match idle {
         Some(socket) => socket,
-        None => peers::connect(at, Duration::from(ASK_TIMEOUT)).await?,
+        None => peers::connect(address, Duration::from(ASK_TIMEOUT)).await?,
     };
-    let answer = peers::round_trip(&mut socket, question).await?;
-    Ok((socket, answer))
+    let reply = peers::round_trip(&mut socket, message).await?;
+    Ok((socket, reply))
 }
 
-/// Answers a gateway that asks for permits.
-pub(crate) fn reply<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> PeerNews {
-    // A question that waited as long as this process stood still says nothing of now.
+/// The reply to a permit request of another gateway.
+pub(crate) fn reply<P: Platform>(gateway: &Gateway<P>, request: &PermitsAsked) -> PeerNews {
+    // After a suspension of this process, a request may be as old as the suspension: the share in
+    // it may not be delegated any more.
     let is_fresh = gateway.stood_still(LATE_READ_WINDOW).is_none();
-    let hands_over = asked.hands_over && is_fresh;
-    let given = give(gateway, &PermitsAsked { hands_over, ..asked.clone() });
-    let server = asked.server_number.map(ServerIncarnation);
+    let hands_over = request.hands_over && is_fresh;
+    let granted = grant_locally(gateway, &PermitsAsked { hands_over, ..request.clone() });
+    let server = request.server_number.map(ServerIncarnation);
     PeerNews {
         limits: server.map(|server| messages::limit_entries(gateway, server)).unwrap_or_default(),
         permits_given: Some(PermitsGiven {
-            permitted_requests: given.permits,
-            again_in_ms: given.retry_in.0,
+            permitted_requests: granted.permits,
+            again_in_ms: granted.retry_in.0,
         }),
         ..messages::empty_message()
     }
 }
 
-fn give<P: Platform>(gateway: &Gateway<P>, asked: &PermitsAsked) -> Grant {
+fn grant_locally<P: Platform>(gateway: &Gateway<P>, request: &PermitsAsked) -> Grant {
     let now = gateway.now();
     let gateways = gateway.with_members(|members| members.fleet_size(now));
-    let returning = asked.returning_requests.map(|in_1000_s| Rate { in_1000_s });
-    // After a rest somebody has to find out whether the server takes requests.
-    let first = if returning.is_some() { 1.0 } else { 0.0 };
-    let limit = asked.server_number.map(ServerIncarnation).and_then(|server| {
-        let said = gateway.with_pool(|pool| pool.advertised_limit(server));
-        (said.is_some() || returning.is_some()).then(|| {
-            let named = said.and_then(|said| said.limit);
-            (server, named.into_iter().chain(returning).min())
+    let ramp_up = request.returning_requests.map(|in_1000_s| Rate { in_1000_s });
+    // After a back-off, one request has to find out whether the server accepts requests again.
+    let first = if ramp_up.is_some() { 1.0 } else { 0.0 };
+    let limit = request.server_number.map(ServerIncarnation).and_then(|server| {
+        let advertised = gateway.with_pool(|pool| pool.advertised_limit(server));
+        (advertised.is_some() || ramp_up.is_some()).then(|| {
+            let advertised_rate = advertised.and_then(|advertised| advertised.limit);
+            (server, advertised_rate.into_iter().chain(ramp_up).min())
         })
     });
     gateway.with_permits(|permits| {
-        if asked.hands_over {
-            permits.add_share(GatewayId(asked.gateway_number), now);
+        if request.hands_over {
+            permits.add_share(GatewayId(request.gateway_number), now);
         }
-        if let Some(request) = asked.trial_number {
-            return permits.grant_trial(Fingerprint(request), TRIAL, now);
+        if let Some(fingerprint) = request.trial_number {
+            return permits.grant_trial(Fingerprint(fingerprint), TRIAL, now);
         }
         let Some((server, limit)) = limit else { return Grant::default() };
-        let given = match limit {
+        let granted = match limit {
             Some(limit) => {
-                permits.grant(server, limit, asked.wanted_requests, first, gateways, now)
+                permits.grant(server, limit, request.wanted_requests, first, gateways, now)
             }
-            // It names none any more.
-            None => Grant { permits: asked.wanted_requests, retry_in: Millis::ZERO },
+            // The server has no limit any more.
+            None => Grant { permits: request.wanted_requests, retry_in: Millis::ZERO },
         };
-        gateway.metrics.permits_given.inc_by(given.permits.into());
-        given
+        gateway.metrics.permits_given.inc_by(granted.permits.into());
+        granted
     })
 }
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -1,13 +1,14 @@
-//! The process beside a backend server: it passes questions and orders on to the engine there.
+//! Sidecar of a backend server: relays requests and orders to the engine on the same machine.
+//! Input: HTTP requests of the leader of a service's maps. State: the last counts sent to leaders,
+//! and idle connections. It decides nothing: an order contains the fencing token that guards it.
 //!
-//! An engine answers its own machine with a fresh report and at no price, and takes orders from
-//! there at no price; from elsewhere reports are late, and each question disturbs the group. So the
-//! leader of a service's maps asks through this process, and directly only where it is not there.
-//! It decides nothing, and keeps only what it told of counts last, so that the next reading is told by
-//! what came since: what guards an order is in the order.
+//! An engine answers requests of its own machine with a fresh report, and neither reports nor
+//! orders have a price there. Reports to other machines are late, and each request from them
+//! disturbs the group. So the leader sends its requests through the sidecar, and directly only if
+//! there is none. The counts sent last are the base of the next ones, which are sent as differences.
 //!
-//! Gateways relay in the same way, to engines that are named: [`hooktrestle_core::direct::relays`] says
-//! which orders go through them.
+//! Gateways relay in the same way, to the engine that a request names:
+//! [`hooktrestle_core::direct::relays`] describes which orders go through them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -53,78 +54,80 @@
 use crate::headers;
 use crate::platform::Platform;
 
-/// Names another engine that is to be asked, by its address. Without it, it is the one beside.
+/// Header with the address of the engine that a request is for. Without it, that is the local engine.
 pub(crate) const ENGINE_HEADER: &str = "hooktrestle-engine";
 
-/// In a question for counts: tell what came since the reading with this number, packed.
+/// Header of a request for counts with the number of a counter snapshot: the response is to contain
+/// the differences from that snapshot, compressed.
 pub(crate) const SINCE_HEADER: &str = "hooktrestle-since";
 
-/// Longest wait for the engine: on its own machine its answers come within a few milliseconds, and a
-/// group may be held until an order that got none is repeated.
+/// Time-out of a request to the engine. A local engine answers within a few milliseconds, and a group
+/// may be held until an order without an answer is retried.
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Largest body that is passed on: a map of 64 ranks and 256 experts has some 100 KB.
+/// Maximum size of a relayed body. A map of 64 ranks and 256 experts has some 100 KB.
 pub(crate) const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The engine beside this process, and idle connections to it and to others. `C` tells whether an engine
-/// has asked this process's machine to send it nothing for now.
+/// The local engine, and idle connections to it and to other engines. `C` returns whether the engine
+/// at an address accepts only local orders now, as it is backing off or advertises a limit.
 struct Engines<C> {
-    is_closed: C,
-    /// None at a gateway, which has none beside it.
-    beside: Option<SocketAddr>,
-    kept: RefCell<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
-    /// Understands counts as the engine spells them.
-    counts: DecodeCounts,
-    told: RefCell<DeltaEncoder>,
+    is_local_only: C,
+    /// `None` at a gateway, which has no local engine.
+    local: Option<SocketAddr>,
+    idle: RefCell<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
+    /// Decodes counts in the engine's format.
+    decode_counts: DecodeCounts,
+    sent: RefCell<DeltaEncoder>,
 }
 
-/// Decodes an engine's answer about its counts.
+/// Decodes an engine's response with its counts.
 pub type DecodeCounts = fn(&[u8]) -> Option<Counts>;
 
-/// Runs until the process is told to stop.
+/// Runs the sidecar until a signal stops the process.
 ///
 /// # Errors
 ///
 /// The address cannot be listened on.
-pub async fn run(settings: &SidecarRoleSettings, counts: DecodeCounts) -> Result<()> {
+pub async fn run(settings: &SidecarRoleSettings, decode_counts: DecodeCounts) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hang_up = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(&settings.listen)
         .await
         .wrap_err_with(|| format!("cannot listen on {}", settings.listen))?;
-    // An engine asks nothing of its own machine.
-    let engines = Rc::new(Engines::new(Some(settings.engine.parse()?), counts, |_| false));
+    // Orders of this process are local for its engine.
+    let engines = Rc::new(Engines::new(Some(settings.engine.parse()?), decode_counts, |_| false));
     spdlog::info!("sidecar of {} started", settings.engine);
-    let note = |error: &io::Error| spdlog::warn!("the leader is not accepted: {error}");
+    let log_error =
+        |error: &io::Error| spdlog::warn!("cannot accept connections of leaders: {error}");
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            // Its two addresses are those of its machine, and stay as long as the process lives.
-            _ = hang_up.recv() => spdlog::info!("settings are not read again"),
-            stream = accept::next(&listener, note) => {
+            // The two addresses are those of the machine, and stay the same until the process ends.
+            _ = hang_up.recv() => spdlog::info!("settings are not reloaded"),
+            stream = accept::next(&listener, log_error) => {
                 tokio::task::spawn_local(serve(engines.clone(), stream));
             }
         }
     }
-    // Whoever asks next goes to the engine directly.
+    // From now on the leader sends its requests to the engine directly.
     spdlog::info!("sidecar of {} stopped", settings.engine);
     Ok(())
 }
 
-/// Relays questions and orders to the engines that they name, until the process ends.
+/// Relays requests and orders to the engines that they name, until the process ends.
 pub(crate) async fn relay<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
-    // Counts are read through the processes beside engines alone.
-    let asked = gateway.clone();
-    let is_closed = move |address| {
-        let now = asked.now();
-        asked.with_pool(|pool| pool.accepts_only_local_orders_at(address, now))
+    // Counts are read only through sidecars, so there is nothing to decode here.
+    let own_gateway = gateway.clone();
+    let is_local_only = move |address| {
+        let now = own_gateway.now();
+        own_gateway.with_pool(|pool| pool.accepts_only_local_orders_at(address, now))
     };
-    let engines = Rc::new(Engines::new(None, |_| None, is_closed));
-    let note = |error: &io::Error| {
-        gateway.journal.state(format_args!("the leader is not accepted: {error}"));
+    let engines = Rc::new(Engines::new(None, |_| None, is_local_only));
+    let log_error = |error: &io::Error| {
+        gateway.journal.state(format_args!("cannot accept connections of leaders: {error}"));
     };
     loop {
-        let stream = accept::next(&listener, note).await;
+        let stream = accept::next(&listener, log_error).await;
         tokio::task::spawn_local(serve(engines.clone(), stream));
     }
 }
@@ -137,7 +140,7 @@
     let mut builder = http1::Builder::new();
     let connection =
         builder.auto_date_header(false).serve_connection(TokioIo::new(stream), service);
-    // What went wrong with the connection is the leader's to see.
+    // The leader detects a failed connection itself.
     drop(connection.await);
 }
 
@@ -145,10 +148,10 @@
     engines: &Engines<C>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    match time::timeout(ENGINE_TIMEOUT, engines.pass_on(request)).await {
+    match time::timeout(ENGINE_TIMEOUT, engines.relay_request(request)).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) | Err(_) => {
-            // No verdict on an order: it may have been taken.
+            // This status says nothing about an order: the engine may have accepted it.
             let mut answer = Response::new(Full::default());
             *answer.status_mut() = StatusCode::BAD_GATEWAY;
             answer
@@ -157,59 +160,66 @@
 }
 
 impl<C: Fn(SocketAddr) -> bool> Engines<C> {
-    fn new(beside: Option<SocketAddr>, counts: DecodeCounts, is_closed: C) -> Engines<C> {
+    fn new(local: Option<SocketAddr>, decode_counts: DecodeCounts, is_local_only: C) -> Engines<C> {
         Engines {
-            is_closed,
-            beside,
-            kept: RefCell::default(),
-            counts,
-            told: RefCell::new(DeltaEncoder::new(rand::random())),
+            is_local_only,
+            local,
+            idle: RefCell::default(),
+            decode_counts,
+            sent: RefCell::new(DeltaEncoder::new(rand::random())),
         }
     }
 
-    async fn pass_on(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>> {
+    async fn relay_request(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>> {
         let (mut head, body) = request.into_parts();
         let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
-        let mut body = body.map_err(|error| eyre!("the order cannot be read: {error}"))?.to_bytes();
+        let mut body =
+            body.map_err(|error| eyre!("cannot read the request body: {error}"))?.to_bytes();
         headers::strip_connection(&mut head.headers);
-        let address = self.asked(&mut head.headers)?;
-        ensure!(!(self.is_closed)(address), "the engine at {address} asked to be sent nothing");
+        let address = self.target(&mut head.headers)?;
+        ensure!(
+            !(self.is_local_only)(address),
+            "the engine at {address} accepts only local orders now"
+        );
         let since = headers::number(&head.headers, &HeaderName::from_static(SINCE_HEADER));
         head.headers.remove(SINCE_HEADER);
         if head.headers.remove(header::CONTENT_ENCODING).is_some() {
             body = compression::decompress(&body, MAX_BODY_BYTES)?;
             head.headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
         }
-        let kept = self.kept.borrow_mut().get_mut(&address).and_then(Vec::pop);
-        let mut sender = match kept.filter(SendRequest::is_ready) {
+        let idle = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
+        let mut sender = match idle.filter(SendRequest::is_ready) {
             Some(sender) => sender,
             None => dial::dial_http(address, ENGINE_TIMEOUT).await?.0,
         };
         let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
         let (mut head, body) = answer.into_parts();
         let body = body.collect().await?.to_bytes();
-        self.kept.borrow_mut().entry(address).or_default().push(sender);
+        self.idle.borrow_mut().entry(address).or_default().push(sender);
         headers::strip_connection(&mut head.headers);
         match since.filter(|_| head.status.is_success()) {
-            Some(known) => self.tell(known, &body),
+            Some(known) => self.encode_since(known, &body),
             None => Ok(Response::from_parts(head, Full::new(body))),
         }
     }
 
-    /// Tells counts to a leader that knows the reading with the number `known`.
-    fn tell(&self, known: u64, answer: &[u8]) -> Result<Response<Full<Bytes>>> {
-        let read = (self.counts)(answer).ok_or_else(|| eyre!("the counts make no sense"))?;
-        let news = self.told.borrow_mut().encode(read, known);
+    /// The response with counts for a leader that has the counter snapshot with the number `known`.
+    fn encode_since(&self, known: u64, answer: &[u8]) -> Result<Response<Full<Bytes>>> {
+        let counts = (self.decode_counts)(answer)
+            .ok_or_else(|| eyre!("cannot decode the counts of the engine"))?;
+        let message = self.sent.borrow_mut().encode(counts, known);
         let mut body = Vec::new();
-        ciborium::into_writer(&news, &mut body)?;
+        ciborium::into_writer(&message, &mut body)?;
         Ok(Response::new(Full::new(compression::compress(&body))))
     }
 
-    /// Which engine is asked.
-    fn asked(&self, headers: &mut HeaderMap) -> Result<SocketAddr> {
+    /// The address of the engine that a request is for.
+    fn target(&self, headers: &mut HeaderMap) -> Result<SocketAddr> {
         let Some(named) = headers.remove(ENGINE_HEADER) else {
-            return self.beside.ok_or_else(|| eyre!("no engine is named, and none is beside"));
+            return self
+                .local
+                .ok_or_else(|| eyre!("the request names no engine, and there is no local engine"));
         };
-        named.to_str()?.parse().wrap_err("the engine's address is not IP:PORT")
+        named.to_str()?.parse().wrap_err("the address of the engine is not IP:PORT")
     }
 }
--- a/crates/direct/src/table_sync.rs
+++ b/crates/direct/src/table_sync.rs
@@ -1,4 +1,6 @@
-//! Keeps the tables of the platform up to date: read whole once, then followed.
+//! Copies of the platform's tables: tasks that read each table in full once and then follow it.
+//! Input: responses of the platform's store. State: per task, whether a full read is due.
+//! It decides when to call the store and how long to wait; the gateway applies the updates.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,96 +16,102 @@
 use crate::platform::Platform;
 use crate::platform::Table;
 
-/// How long one call waits for changes. A call whose answer was lost says nothing more, and what
-/// changes meanwhile is due within two seconds of the store's being stable for three: so the wait
-/// and its time-out stay below three seconds. Calls are priced, so it is not much shorter.
-const WAIT: Duration = Duration::from_millis(2_000);
+/// Time for which one call waits for changes. A call whose response was lost delivers nothing until
+/// its time-out, and changes are due two seconds after the store has been stable for three. So the
+/// wait and its time-out together stay below three seconds. Each call has a price, so the wait is
+/// not much shorter.
+const FOLLOW_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Time between two looks at a table where others of the data centre follow it closely: what changes
-/// meanwhile comes from them, and whoever loses sight of them, or of all others, follows closely itself
-/// within the 3 s in which that is noticed. Nearly all gateways of a large fleet follow so: waiting calls
-/// of 149 gateways were all answered at each change, 1,043 calls for seven of the configuration. It stays
-/// below the 20 s of history that the users' store keeps.
-const LOOSE_EVERY: Duration = Duration::from_millis(15_000);
+/// Time between two polls of a table that other gateways of the data centre follow closely. Changes
+/// in between come from these. A gateway that loses contact with them, or with all others, detects
+/// that within 3 s and then follows closely itself. Nearly all gateways of a large fleet follow
+/// loosely: waiting calls of 149 gateways all get a response at each change, which makes 1,043 calls
+/// for seven changes of the configuration. The interval is below the 20 s of history that the users'
+/// store has.
+const LOOSE_POLL_INTERVAL: Duration = Duration::from_millis(15_000);
 
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause after calls that failed one after the other, each doubling it: refused calls are priced,
-/// too, and 49 gateways that are turned away for 9 s make 3,500 with a pause that stays as it is (by
-/// reckoning). What changed in an outage is due 5 s after its end, and comes from peers meanwhile.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
+/// Maximum pause after consecutive failed calls, each of which doubles it. Refused calls have a price,
+/// too: with a constant pause, 49 gateways that are refused for 9 s would make 3,500 calls.
+/// Changes made during an outage are due 5 s after its end, and arrive from peers meanwhile.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Pause before a table is read again that was read from the past.
-const STALE_PAUSE: Duration = Duration::from_millis(400);
+/// Pause before another read of a table after the store returned an older state of it.
+const STALE_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Pause after a change: more often than not others follow, and each call has a price. It delays what
-/// is due within two seconds.
-const GATHER: Duration = Duration::from_millis(200);
+/// Pause after a change, so that one call returns several: most changes are followed by others, and
+/// each call has a price. The pause delays changes that are due within two seconds.
+const BATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time between two looks at whether a gateway still follows loosely.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Time between two checks of whether this gateway is to follow closely, or of unconfirmed rows.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the table of gateways: it is needed only by those that no other
-/// gateway knows.
-const MEMBERS_EVERY: Duration = Duration::from_secs(60);
+/// Time between two polls of the table of gateways. Only a gateway that no other gateway knows needs
+/// the table.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The same while no other gateway is known to live.
-const ALONE_EVERY: Duration = Duration::from_secs(2);
+/// Time between two polls of that table while no other gateway is known to be alive.
+const ALONE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Follows a table until the process ends.
 pub async fn follow<P: Platform>(gateway: Rc<Gateway<P>>, table: Table) {
     let mut whole = true;
-    let mut is_old = false;
-    let mut pause = PAUSE;
+    let mut is_stale = false;
+    let mut pause = RETRY_PAUSE;
     loop {
-        let asked = if whole {
+        let response = if whole {
             gateway.platform.read(table).await
         } else {
             let wait = next_wait(&gateway).await;
             gateway.platform.follow(table, gateway.revision(table), wait).await
         };
-        match asked {
+        match response {
             Ok(update) if whole && update.revision < gateway.revision(table) => {
-                // The store answers from the past, and others have told us more.
+                // The store returned an older state than this gateway has received from peers.
                 gateway.note_store(true, &"");
-                if !is_old {
+                if !is_stale {
                     gateway.note_old_table(table, update.revision);
                 }
-                is_old = true;
-                time::sleep(STALE_PAUSE).await;
+                is_stale = true;
+                time::sleep(STALE_RETRY_PAUSE).await;
             }
             Ok(update) => {
                 gateway.note_store(true, &"");
                 gateway.take(table, &update, "store");
-                (whole, is_old) = (false, false);
+                (whole, is_stale) = (false, false);
                 if !update.changes.is_empty() {
-                    time::sleep(GATHER).await;
+                    time::sleep(BATCH_PAUSE).await;
                 }
             }
             Err(Failure::HistoryGone) => {
-                gateway.journal.state(format_args!("{} is read anew", table.name()));
+                gateway.journal.state(format_args!(
+                    "the store has no history of {} since the known revision, reading all of it",
+                    table.name()
+                ));
                 whole = true;
             }
             Err(failure) => {
                 gateway.note_store(false, &failure);
                 time::sleep(pause).await;
-                // Whoever knows nothing yet cannot serve meanwhile.
-                let longest = if gateway.knows(table) { LONGEST_PAUSE } else { PAUSE };
-                pause = longest.min(2 * pause);
+                // Without any copy of the table this gateway cannot serve, so the pause stays short.
+                let max_pause = if gateway.knows(table) { MAX_RETRY_PAUSE } else { RETRY_PAUSE };
+                pause = max_pause.min(2 * pause);
                 continue;
             }
         }
-        pause = PAUSE;
+        pause = RETRY_PAUSE;
     }
 }
 
-/// Waits for servers to write again what the store has lost of them, until the process ends.
+/// Checks rows that the store has lost until their servers have written them again or the wait for
+/// them has lapsed, whenever there are any. Runs until the process ends.
 pub async fn watch_unconfirmed_rows<P: Platform>(gateway: Rc<Gateway<P>>) {
     loop {
         gateway.rows_lost.notified().await;
         while gateway.settle() {
-            time::sleep(LOOK_EVERY).await;
+            time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
@@ -113,33 +121,35 @@
     gateway.with_members(|members| members.follows_closely(now))
 }
 
-/// How long the next call may wait for changes; where others follow closely, it comes only after a
-/// while, or once they are gone or this gateway is cut off from them.
+/// The time for which the next call may wait for changes. While other gateways follow closely, this
+/// returns only after the poll interval, or once they are gone or this gateway is cut off from them.
 async fn next_wait<P: Platform>(gateway: &Gateway<P>) -> Duration {
     if follows_closely(gateway) {
-        return WAIT;
+        return FOLLOW_WAIT;
     }
     tokio::select! {
-        () = time::sleep(LOOSE_EVERY) => Duration::ZERO,
-        () = until_close(gateway) => WAIT,
+        () = time::sleep(LOOSE_POLL_INTERVAL) => Duration::ZERO,
+        () = until_follows_closely(gateway) => FOLLOW_WAIT,
     }
 }
 
-/// Waits until this gateway shall follow closely.
-async fn until_close<P: Platform>(gateway: &Gateway<P>) {
+/// Waits until this gateway is to follow closely.
+async fn until_follows_closely<P: Platform>(gateway: &Gateway<P>) {
     while !follows_closely(gateway) {
-        time::sleep(LOOK_EVERY).await;
+        time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Lists this gateway, and reads who else is listed, now and then, until it stops.
+/// Writes the row of this gateway to the table of gateways, and polls the table for other gateways,
+/// until this process stops.
 pub async fn maintain_membership_row<P: Platform>(gateway: Rc<Gateway<P>>) {
     let mut eras = gateway.watch_eras();
-    let (mut listed_in, mut pause) = (None, PAUSE);
-    // A process that stops is taken off the list, and must not come back onto it.
+    let (mut listed_in, mut pause) = (None, RETRY_PAUSE);
+    // The row of a process that stops is removed, and must not be written again.
     while gateway.phase() == Phase::Running {
         let own = gateway.with_members(|members| members.own().clone());
-        // Written again after a drill: what others write again they tell each other, too.
+        // After a new era of the store the row is written again without a read: the other gateways
+        // gossip what they write again, too.
         let mut reads = true;
         if listed_in < gateway.era() || listed_in.is_none() {
             reads = listed_in.is_none();
@@ -148,22 +158,22 @@
             listed_in = written_in.filter(|era| Some(*era) >= gateway.era());
         }
         if reads && let Ok(update) = gateway.platform.read(Table::Members).await {
-            // Those that could not hear of this gateway have removed its row.
+            // Gateways that received no heartbeat of this one may have removed its row.
             let is_listed = update.changes.iter().any(|change| change.key == own.name);
             listed_in = listed_in.filter(|_| is_listed);
-            take_table(&gateway, &update).await;
+            apply_members_table(&gateway, &update).await;
         }
         let now = gateway.now();
         let Some(era) = listed_in else {
-            pause = LONGEST_PAUSE.min(2 * pause);
+            pause = MAX_RETRY_PAUSE.min(2 * pause);
             time::sleep(pause).await;
             continue;
         };
-        pause = PAUSE;
+        pause = RETRY_PAUSE;
         let alone = gateway.with_members(|members| members.count_alive(now)) == 1;
         tokio::select! {
-            () = time::sleep(if alone { ALONE_EVERY } else { MEMBERS_EVERY }) => {}
-            // What was written in the era before may be lost.
+            () = time::sleep(if alone { ALONE_POLL_INTERVAL } else { MEMBERS_POLL_INTERVAL }) => {}
+            // The store may have lost a row that was written in an earlier era.
             _ = eras.wait_for(|now| *now > Some(era)) => {
                 time::sleep(gateway.turn_to_write()).await;
             }
@@ -171,22 +181,24 @@
     }
 }
 
-/// Takes the table of gateways, and removes the rows of those that are gone for good.
-async fn take_table<P: Platform>(gateway: &Gateway<P>, update: &Update) {
-    // What was listed before is kept as an era is noted.
+/// Applies the table of gateways, and removes the rows of gateways that do not exist any more.
+async fn apply_members_table<P: Platform>(gateway: &Gateway<P>, update: &Update) {
+    // The gateways listed so far are recorded when a new era is noted, so that comes first.
     gateway.note_era(update.revision.era);
     if gateway.era() > Some(update.revision.era) {
         return;
     }
     let now = gateway.now();
-    let texts = update.changes.iter().filter_map(|change| change.value.as_deref());
-    let listed: Vec<Member> = texts.filter_map(messages::member_from_json).collect();
+    let values = update.changes.iter().filter_map(|change| change.value.as_deref());
+    let listed: Vec<Member> = values.filter_map(messages::member_from_json).collect();
     for name in gateway.with_members(|members| members.apply_table(&listed, now)) {
         match gateway.platform.write_member(&name, None).await {
-            Ok(_) => gateway.journal.state(format_args!("{name} is listed no more")),
-            // It is tried again at the next reading.
+            Ok(_) => gateway.journal.state(format_args!("removed the row of gateway {name}")),
+            // This is retried after the next read of the table.
             Err(failure) => {
-                gateway.journal.state(format_args!("{name} stays listed: {failure}"));
+                gateway
+                    .journal
+                    .state(format_args!("cannot remove the row of gateway {name}: {failure}"));
             }
         }
     }
