--- a/crates/direct/src/compression.rs
+++ b/crates/direct/src/compression.rs
@@ -16,8 +16,8 @@
 /// Size from which a body is compressed. A smaller one fits into one packet as it is.
 pub(crate) const COMPRESS_FROM_BYTES: usize = 1_024;
 
-/// Compresses a body. A map of 16 sets on 96 ranks has 17.9 kB as text and 6.6 kB compressed; at the
-/// fastest level it has 7.6 kB.
+/// Compresses a body. A map of 16 sets on 96 ranks has 17.9 kB as text and 6.6 kB compressed; at
+/// the fastest level it has 7.6 kB.
 pub(crate) fn compress(body: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::default());
     // Writes to a vector do not fail.
--- a/crates/direct/src/crash_sync.rs
+++ b/crates/direct/src/crash_sync.rs
@@ -19,9 +19,9 @@
 use crate::platform::KeptCrashes;
 use crate::platform::Platform;
 
-/// Pause after a failed call. Each further failure doubles it up to the maximum, since the store may be
-/// unavailable for long and refused calls have a price. The rows are needed only after a restart of
-/// all gateways, which mostly comes later.
+/// Pause after a failed call. Each further failure doubles it up to the maximum, since the store
+/// may be unavailable for long and refused calls have a price. The rows are needed only after a
+/// restart of all gateways, which mostly comes later.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
 
--- a/crates/direct/src/maps.rs
+++ b/crates/direct/src/maps.rs
@@ -1,14 +1,16 @@
-//! Moves experts between the ranks of groups as demand changes.
+//! Leadership of expert maps: moves experts between the ranks of groups as demand changes.
+//! Input: engine reports, counts, membership, store claims. State: demand, groups and paces.
+//! It decides when to claim leadership of a service's maps, and which ranks to read.
 //!
 //! One gateway leads the maps of a service, with a fencing token from the store, until it stops or
-//! the others do not hear of it any more. What it believes of its lead need not be true: orders carry
-//! the token, and [`hooktrestle_core::direct::map_orders`] says why two leaders do no harm.
+//! the other gateways suspect it. A gateway may be wrong about its leadership: each order carries
+//! the token, and [`hooktrestle_core::direct::map_orders`] describes why two leaders do no harm.
 //!
-//! The leader reads now and then, from some ranks, how often each expert was chosen; all groups of a
-//! service serve the same demand, so one estimate serves all of them.
+//! The leader reads at intervals, from some ranks, how often each expert was chosen. All groups of
+//! a service serve the same demand, so one estimate serves all of them.
 //!
-//! - [`group`]: one group's map, read, planned anew and switched.
-//! - [`paces`]: how fast ranks are, and which servers are told to be slow.
+//! - [`group`]: reads, plans and switches the map of one group.
+//! - [`paces`]: reads how fast the ranks are, and reports slow servers.
 
 mod group;
 mod paces;
@@ -45,55 +47,58 @@
 use crate::platform::EngineReport;
 use crate::platform::Platform;
 
-/// Time between two looks at who leads.
-const LEAD_EVERY: Duration = Duration::from_millis(250);
+/// Time between two checks of who is to lead.
+const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time from the start of the process in which it only hears who else there is: where many start at
-/// once, each would claim the lead.
-const LISTEN_FIRST: Millis = Millis(500);
+/// Time after its start in which a process only learns of other gateways. Without it, each of many
+/// gateways that start at once would claim leadership.
+const LISTEN_BEFORE_CLAIM: Millis = Millis(500);
 
-/// Added to it for each gateway that goes before this one, as
-/// [`Members::count_preferred_leaders`] counts them: by the
-/// time that it is over, news of an earlier claim have come. Where 149 started at once, all claimed
-/// within 0.3 s; the first few claim now.
+/// Additional wait for each gateway that is preferred to this one, as counted by
+/// [`Members::count_preferred_leaders`]. By its end, gossip about an earlier claim has arrived.
+/// Without it, 149 gateways that start at once all claim within 0.3 s; with it, only the first few.
 ///
 /// [`Members::count_preferred_leaders`]: hooktrestle_core::direct::members::Members::count_preferred_leaders
-const CLAIM_STEP: Millis = Millis(50);
+const CLAIM_DELAY_PER_GATEWAY: Millis = Millis(50);
 
-/// How long a leader that was replaced does not claim again: where it cannot hear of the other, the
-/// two would take the lead from each other all the while. Cuts at the users last some 5 s.
-const YIELD_WHEN_DEPOSED: Millis = Millis(5_000);
+/// Time for which a replaced leader does not claim again. If it cannot receive gossip of the new
+/// leader, the two would otherwise replace each other repeatedly. Network cuts at the users last
+/// some 5 s.
+const RECLAIM_PAUSE: Millis = Millis(5_000);
 
-/// How long most ranks may not answer a leader that tells others of its lead: some readings, so that
-/// a lost packet is none, and much less than the 5 s that cuts at the users last.
-const UNREACHED_MOST: Millis = Millis(600);
+/// Time without answers of most ranks after which a leader no longer advertises its leadership. It
+/// spans several reads, so that one lost packet has no effect, and is much less than the 5 s that
+/// network cuts at the users last.
+const MAX_UNREACHED_TIME: Millis = Millis(600);
 
-/// Time between two readings of counts. A shift of demand is known after one or two: with 250 ms, worth
-/// of days with trouble is 0.658 in place of 0.713 with groups of 24 ranks (without processor time).
-const COUNTS_EVERY: Duration = Duration::from_millis(120);
+/// Time between two reads of counts. One or two reads detect a shift of demand. With 250 ms, the
+/// score of days with faults is 0.658 in place of 0.713 with groups of 24 ranks (without processor
+/// time).
+const COUNTS_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Ranks whose counts are read through the processes beside them, if the own data centre has not that
-/// many: a rank's own requests are a sample of all. Reading all 72 ranks of three data centres took
-/// 0.026 of worth for bytes between them, and 0.03 for the time that these took on the leader's link.
-const RANKS_NEARBY: usize = 12;
+/// Number of ranks whose counts are read through sidecars if the own data centre has fewer ranks.
+/// The requests of one rank are a sample of all. Reading all 72 ranks of three data centres costs
+/// 0.026 of the score for bytes between them, and 0.03 for the time of these on the leader's link.
+const MIN_SIDECAR_RANKS: usize = 12;
 
-/// Readings of counts from one reading of paces to the next: ranks turn slow for seconds, and all of
-/// them are asked.
-const COUNTS_A_PACE: u32 = 2;
+/// Number of reads of counts for each read of paces. Ranks become slow for seconds, and a read of
+/// paces sends a request to every rank.
+const COUNT_READS_PER_PACE_READ: u32 = 2;
 
-/// Ranks whose counts are read each time. Readings are priced, and a rank's own requests are a
-/// sample of all.
-const RANKS_READ: usize = 2;
+/// Number of ranks whose counts are read directly, in turn. Each read has a price, and the requests
+/// of one rank are a sample of all.
+const MAX_DIRECT_RANKS: usize = 2;
 
-/// Readings that are passed over while groups have no work.
-const IDLE_READINGS: u32 = 4;
+/// Number of direct reads that are skipped between two reads while groups have no work.
+const MAX_SKIPPED_READS: u32 = 4;
 
-/// Time between two tries to write a claim again that the store may have lost.
-const RENEW_EVERY: Millis = Millis(500);
+/// Time between two attempts to renew a claim that the store may have lost.
+const CLAIM_RENEWAL_INTERVAL: Millis = Millis(500);
 
-/// Leads the maps of services, one task for each service, until the process ends.
+/// Starts a task that leads the maps of a service whenever this gateway is to lead it, until the
+/// process ends.
 pub async fn run<P: Platform>(gateway: Rc<Gateway<P>>) {
-    let mut led: BTreeMap<String, Rc<Lead>> = BTreeMap::new();
+    let mut leaderships: BTreeMap<String, Rc<Leadership>> = BTreeMap::new();
     loop {
         let serving = gateway.serving();
         let grouped = serving
@@ -101,30 +106,33 @@
             .values()
             .filter_map(|service| service.experts.map(|shape| (service.name.clone(), shape)));
         for (service, shape) in grouped {
-            let known = led.get(&service).is_some_and(|lead| !lead.may_follow(gateway.now()));
-            if !known && has_listened(&gateway) && is_candidate(&gateway) {
-                let lead = Rc::new(Lead::default());
-                led.insert(service.clone(), lead.clone());
-                tokio::task::spawn_local(lead_service(gateway.clone(), service, shape, lead));
+            let has_task = leaderships
+                .get(&service)
+                .is_some_and(|leadership| !leadership.may_claim_again(gateway.now()));
+            if !has_task && has_listened(&gateway) && is_candidate(&gateway) {
+                let leadership = Rc::new(Leadership::default());
+                leaderships.insert(service.clone(), leadership.clone());
+                tokio::task::spawn_local(lead_service(gateway.clone(), service, shape, leadership));
             }
         }
-        time::sleep(LEAD_EVERY).await;
+        time::sleep(LEADERSHIP_CHECK_INTERVAL).await;
     }
 }
 
-/// Whether this gateway has listened for long enough to claim the lead.
+/// Whether this gateway has received gossip for long enough to claim leadership.
 fn has_listened<P: Platform>(gateway: &Gateway<P>) -> bool {
-    let (before, spread) = gateway
+    let (preferred, propagation) = gateway
         .with_members(|members| (members.count_preferred_leaders(), members.propagation_time()));
-    let listen = LISTEN_FIRST + Millis(CLAIM_STEP.0 * before as u64);
-    // After a standstill it begins anew: others were not silent, this process was. A claim that was lost with
-    // an era protects its holder no more, of whom not all may have heard.
-    gateway.now() >= listen
-        && gateway.stood_still(listen).is_none()
-        && !gateway.era_began_within(spread)
+    let listen_time = LISTEN_BEFORE_CLAIM + Millis(CLAIM_DELAY_PER_GATEWAY.0 * preferred as u64);
+    // After a suspension of this process the time starts again: other gateways seem not to be alive
+    // since this one received nothing. After a new era of the store, a lost claim no longer
+    // protects its holder, of which some gateways may not know yet.
+    gateway.now() >= listen_time
+        && gateway.stood_still(listen_time).is_none()
+        && !gateway.era_began_within(propagation)
 }
 
-/// Whether this gateway is the one that shall lead, as far as it has heard.
+/// Whether this gateway is to lead, as far as it knows.
 fn is_candidate<P: Platform>(gateway: &Gateway<P>) -> bool {
     let now = gateway.now();
     if gateway.readiness() != Readiness::Ready {
@@ -133,15 +141,15 @@
     gateway.with_members(|members| members.should_lead(now))
 }
 
-/// A lead that was begun, and whether it goes on.
+/// A leadership of this gateway, and whether it has ended.
 #[derive(Default)]
-struct Lead {
+struct Leadership {
     over: Cell<bool>,
-    /// When the next one may be claimed.
-    follow_at: Cell<Millis>,
+    /// Time from which leadership may be claimed again.
+    claim_again_at: Cell<Millis>,
 }
 
-impl Lead {
+impl Leadership {
     fn is_over(&self) -> bool {
         self.over.get()
     }
@@ -150,175 +158,184 @@
         self.over.set(true);
     }
 
-    /// It ends, since another gateway leads; none follows here for `span`.
+    /// Ends the leadership, since another gateway leads, and does not claim it again for `span`.
     fn yield_for(&self, span: Millis, now: Millis) {
-        self.follow_at.set(now + span);
+        self.claim_again_at.set(now + span);
         self.end();
     }
 
-    fn may_follow(&self, now: Millis) -> bool {
-        self.is_over() && self.follow_at.get() <= now
+    fn may_claim_again(&self, now: Millis) -> bool {
+        self.is_over() && self.claim_again_at.get() <= now
     }
 }
 
-/// What one leader knows of a service.
+/// State of a service that this gateway leads.
 struct Service<P: Platform> {
     gateway: Rc<Gateway<P>>,
     name: String,
     shape: ExpertShape,
-    fence: u64,
-    lead: Rc<Lead>,
-    /// The servers of each group by rank, as far as they are known.
+    fencing_token: u64,
+    leadership: Rc<Leadership>,
+    /// The servers of each group by rank; `None` if the server of a rank is not known.
     groups: RefCell<BTreeMap<String, Vec<Option<Key<Server>>>>>,
-    /// Servers in groups that are too large to be led.
-    unled: RefCell<BTreeSet<Key<Server>>>,
-    /// Readings that were heard last.
-    heard: RefCell<BTreeMap<Key<Server>, DeltaDecoder>>,
+    /// Servers of groups that have too many ranks to be led.
+    oversized: RefCell<BTreeSet<Key<Server>>>,
+    /// Decoders of counts, each with the last counter snapshot of its rank.
+    decoders: RefCell<BTreeMap<Key<Server>, DeltaDecoder>>,
     demand: RefCell<Demand>,
     passes: RefCell<Passes>,
     paces: RefCell<Paces>,
-    /// Since when most ranks have not answered.
+    /// Time since which most ranks have not answered.
     unreached_since: Cell<Option<Millis>>,
-    /// Wakes whoever plans: counts were read.
-    counted: Notify,
-    /// Readings so far.
-    ticks: Cell<u32>,
-    /// Which rank is read next.
-    turn: Cell<usize>,
-    /// Readings passed over since the last.
-    passed_over: Cell<u32>,
-    /// When the claim may be written again next.
-    renew_at: Cell<Millis>,
+    /// Notifies the tasks of groups that counts were read.
+    counts_read: Notify,
+    /// Number of reads so far.
+    rounds: Cell<u32>,
+    /// Number of the next rank that is read directly, modulo the number of such ranks.
+    next_sample: Cell<usize>,
+    /// Number of direct reads skipped since the last one.
+    skipped_reads: Cell<u32>,
+    /// Time of the next attempt to renew the claim.
+    renewal_due_at: Cell<Millis>,
 }
 
 async fn lead_service<P: Platform>(
     gateway: Rc<Gateway<P>>,
     name: String,
     shape: ExpertShape,
-    lead: Rc<Lead>,
+    leadership: Rc<Leadership>,
 ) {
-    let mut written_in = gateway.platform.store_era();
-    let Some(fence) = claim(&gateway, &name, &lead).await else { return };
-    gateway.with_members(|members| members.begin_leadership(fence));
+    let mut claim_era = gateway.platform.store_era();
+    let Some(fencing_token) = claim(&gateway, &name, &leadership).await else { return };
+    gateway.with_members(|members| members.begin_leadership(fencing_token));
     gateway.hand_on(Reach::All);
-    let service = Rc::new(Service::new(gateway, name, shape, fence, lead));
+    let service = Rc::new(Service::new(gateway, name, shape, fencing_token, leadership));
     let mut started: BTreeSet<String> = BTreeSet::new();
-    while !service.lead.is_over() {
+    while !service.leadership.is_over() {
         if !is_candidate(&service.gateway) {
-            service.lead.end();
+            service.leadership.end();
             break;
         }
-        if service.gateway.era().is_some_and(|era| era > written_in) {
-            written_in = service.renew(written_in).await;
+        if service.gateway.era().is_some_and(|era| era > claim_era) {
+            claim_era = service.renew(claim_era).await;
         }
-        service.find_groups().await;
+        service.discover_groups().await;
         for name in service.groups.borrow().keys() {
             if started.insert(name.clone()) {
-                tokio::task::spawn_local(group::lead(service.clone(), name.clone()));
+                tokio::task::spawn_local(group::manage(service.clone(), name.clone()));
             }
         }
         service.read_counts().await;
-        time::sleep(COUNTS_EVERY).await;
+        time::sleep(COUNTS_INTERVAL).await;
     }
-    service.gateway.with_members(|members| members.end_leadership(service.fence));
-    service.gateway.journal.state(format_args!("maps of {} are not led any more", service.name));
+    service.gateway.with_members(|members| members.end_leadership(service.fencing_token));
+    service.gateway.journal.state(format_args!("leadership of the maps of {} ended", service.name));
 }
 
-/// Claims the lead of a service's maps, and returns its fencing token; ends the lead without one.
-async fn claim<P: Platform>(gateway: &Gateway<P>, service: &str, lead: &Lead) -> Option<u64> {
-    // Until all have heard who leads, nobody else may: one that has not would give orders, too.
+/// Claims leadership of a service's maps, and returns its fencing token. Without a token the
+/// leadership ends.
+async fn claim<P: Platform>(
+    gateway: &Gateway<P>,
+    service: &str,
+    leadership: &Leadership,
+) -> Option<u64> {
+    // The claim is protected until all gateways know of it. A gateway that did not know of it yet
+    // could claim and send orders, too.
     let (holder, newest, protected) = gateway.with_members(|members| {
         (members.own().name.clone(), members.highest_fencing_token(), members.propagation_time())
     });
     let claimant = Claimant { holder: &holder, newest };
     match gateway.platform.claim_maps(service, &claimant, protected).await {
-        Ok(Claim::Held(fence)) => {
-            gateway.journal.state(format_args!("maps of {service} are led with fence {fence}"));
-            return Some(fence);
+        Ok(Claim::Held(fencing_token)) => {
+            gateway.journal.state(format_args!(
+                "leading the maps of {service} with fencing token {fencing_token}"
+            ));
+            return Some(fencing_token);
         }
         Ok(Claim::HeldBy(other)) => {
-            gateway.journal.state(format_args!("maps of {service} are led by {other}"));
-            lead.yield_for(protected, gateway.now());
+            gateway.journal.state(format_args!("the maps of {service} are led by {other}"));
+            leadership.yield_for(protected, gateway.now());
         }
         Err(failure) => {
-            gateway.journal.state(format_args!("maps of {service} are not led: {failure}"));
-            lead.end();
+            gateway
+                .journal
+                .state(format_args!("cannot claim leadership of the maps of {service}: {failure}"));
+            leadership.end();
         }
     }
     None
 }
 
 impl<P: Platform> Service<P> {
-    /// Nothing is known of it yet but its shape.
+    /// A service of which only the shape of its experts is known.
     fn new(
         gateway: Rc<Gateway<P>>,
         name: String,
         shape: ExpertShape,
-        fence: u64,
-        lead: Rc<Lead>,
+        fencing_token: u64,
+        leadership: Rc<Leadership>,
     ) -> Service<P> {
         Service {
             gateway,
             demand: RefCell::new(Demand::new(&shape)),
             name,
             shape,
-            fence,
-            lead,
+            fencing_token,
+            leadership,
             groups: RefCell::default(),
-            unled: RefCell::default(),
-            heard: RefCell::default(),
+            oversized: RefCell::default(),
+            decoders: RefCell::default(),
             passes: RefCell::default(),
-            paces: RefCell::new(Paces::new(fence)),
+            paces: RefCell::new(Paces::new(fencing_token)),
             unreached_since: Cell::new(None),
-            counted: Notify::new(),
-            ticks: Cell::new(0),
-            turn: Cell::new(0),
-            passed_over: Cell::new(0),
-            renew_at: Cell::default(),
+            counts_read: Notify::new(),
+            rounds: Cell::new(0),
+            next_sample: Cell::new(0),
+            skipped_reads: Cell::new(0),
+            renewal_due_at: Cell::default(),
         }
     }
 
-    /// Writes the claim again, as the store may have lost it; returns the era in which it stands. It was written in
-    /// `written_in` last.
-    async fn renew(&self, written_in: u64) -> u64 {
+    /// Renews the claim, since the store may have lost it. Returns the era in which it was written
+    /// last, which was `claim_era` before.
+    async fn renew(&self, claim_era: u64) -> u64 {
         let now = self.gateway.now();
-        if now < self.renew_at.get() {
-            return written_in;
+        if now < self.renewal_due_at.get() {
+            return claim_era;
         }
-        self.renew_at.set(now + RENEW_EVERY);
+        self.renewal_due_at.set(now + CLAIM_RENEWAL_INTERVAL);
         let era = self.gateway.platform.store_era();
         let holder = self.gateway.with_members(|members| members.own().name.clone());
-        let claimant = Claimant { holder: &holder, newest: self.fence };
+        let claimant = Claimant { holder: &holder, newest: self.fencing_token };
         match self.gateway.platform.renew_maps(&self.name, &claimant).await {
             Ok(Claim::Held(_)) => return era,
             Ok(Claim::HeldBy(other)) => {
-                let line = format_args!("maps of {} are led by {other}", self.name);
+                let line = format_args!("the maps of {} are led by {other}", self.name);
                 self.gateway.journal.state(line);
-                self.lead.yield_for(YIELD_WHEN_DEPOSED, self.gateway.now());
+                self.leadership.yield_for(RECLAIM_PAUSE, self.gateway.now());
             }
             Err(failure) => {
-                let line =
-                    format_args!("the claim of {} is not written again: {failure}", self.name);
+                let line = format_args!("cannot renew the claim of {}: {failure}", self.name);
                 self.gateway.journal.state(line);
             }
         }
-        written_in
+        claim_era
     }
 
-    /// Asks servers that are in no known group for their place.
-    async fn find_groups(&self) {
+    /// Requests a report of each server in no known group, to learn its group and rank.
+    async fn discover_groups(&self) {
         let servers = self.gateway.with_pool(|pool| pool.present_of(&self.name));
         let new: Vec<Key<Server>> = {
             let mut groups = self.groups.borrow_mut();
             for rank in groups.values_mut().flatten() {
                 *rank = rank.filter(|key| servers.contains(key));
             }
-            self.heard.borrow_mut().retain(|key, _| servers.contains(key));
+            self.decoders.borrow_mut().retain(|key, _| servers.contains(key));
             let placed: BTreeSet<Key<Server>> =
                 groups.values().flatten().flatten().copied().collect();
-            let mut unled = self.unled.borrow_mut();
-            unled.retain(|key| servers.contains(key));
-            let known = |key: &Key<Server>| placed.contains(key) || unled.contains(key);
+            let mut oversized = self.oversized.borrow_mut();
+            oversized.retain(|key| servers.contains(key));
+            let known = |key: &Key<Server>| placed.contains(key) || oversized.contains(key);
             servers.into_iter().filter(|key| !known(key)).collect()
         };
         let reports = new.iter().map(|key| engine::report(&self.gateway, *key, Path::Any));
@@ -327,90 +344,90 @@
         for (key, report) in new.into_iter().zip(reports) {
             let Some(report) = report else { continue };
             if report.size > MAX_RANKS {
-                self.leave_unled(key, &report);
+                self.mark_oversized(key, &report);
                 continue;
             }
             let ranks = groups.entry(report.group).or_default();
             if ranks.len() < report.size {
                 ranks.resize(report.size, None);
             }
-            if let Some(place) = ranks.get_mut(report.rank) {
-                *place = Some(key);
+            if let Some(slot) = ranks.get_mut(report.rank) {
+                *slot = Some(key);
             }
         }
     }
 
-    /// A server is in a group that is too large to be led: its map stays as it is, which is told.
-    fn leave_unled(&self, key: Key<Server>, report: &EngineReport) {
-        self.unled.borrow_mut().insert(key);
+    /// Records and logs that a server's group has too many ranks to be led. Its map stays the same.
+    fn mark_oversized(&self, key: Key<Server>, report: &EngineReport) {
+        self.oversized.borrow_mut().insert(key);
         self.gateway.metrics.ranks_unled.inc();
         let EngineReport { group, size, .. } = report;
         let name = &self.name;
         self.gateway.journal.state(format_args!(
-            "group {group} of {name} is not led: {size} ranks, of at most {MAX_RANKS}"
+            "group {group} of {name} is not led: it has {size} ranks, the maximum is {MAX_RANKS}"
         ));
     }
 
-    /// Reads how often experts were chosen since the last reading.
+    /// Reads how often experts were chosen since the last read, and at times how fast ranks are.
     async fn read_counts(&self) {
         let ranks: Vec<Key<Server>> =
             self.groups.borrow().values().flatten().filter_map(|rank| *rank).collect();
         if ranks.is_empty() {
             return;
         }
-        let tick = self.ticks.replace(self.ticks.get().wrapping_add(1));
-        let with_paces = tick.is_multiple_of(COUNTS_A_PACE);
+        let round = self.rounds.replace(self.rounds.get().wrapping_add(1));
+        let with_paces = round.is_multiple_of(COUNT_READS_PER_PACE_READ);
         let paces = async {
             if with_paces {
                 self.read_paces(&ranks).await;
             }
         };
-        let (mut read, ()) = join(self.read_beside(&ranks), paces).await;
-        if read.is_empty() && with_paces {
-            read.extend(self.read_from_afar(&ranks).await);
+        let (mut samples, ()) = join(self.read_through_sidecars(&ranks), paces).await;
+        if samples.is_empty() && with_paces {
+            samples.extend(self.read_directly(&ranks).await);
         }
         let now = self.gateway.now();
         let mut demand = self.demand.borrow_mut();
         let mut passes = self.passes.borrow_mut();
         demand.decay(now.0 as f64);
         demand.busy = false;
-        for (key, counts) in read {
+        for (key, counts) in samples {
             passes.record(key, counts.epoch, counts.pass, now);
             demand.record(key, counts.epoch, counts.counts);
         }
         drop((demand, passes));
-        self.counted.notify_waiters();
+        self.counts_read.notify_waiters();
     }
 
-    /// Reads ranks nearby through the processes beside them, which costs nothing.
-    async fn read_beside(&self, ranks: &[Key<Server>]) -> Vec<(Key<Server>, Counts)> {
+    /// Reads counts through sidecars, which has no price.
+    async fn read_through_sidecars(&self, ranks: &[Key<Server>]) -> Vec<(Key<Server>, Counts)> {
         if self.gateway.sidecars_port == 0 {
             return Vec::new();
         }
-        let asked = self.nearby(ranks).into_iter().map(|key| async move {
-            let known = self.heard.borrow().get(&key).map_or(0, DeltaDecoder::known);
-            let news = engine::counts_since(&self.gateway, key, known).await?;
-            let read = self.heard.borrow_mut().entry(key).or_default().decode(news)?;
-            Some((key, read))
+        let reads = self.sidecar_ranks(ranks).into_iter().map(|key| async move {
+            let known = self.decoders.borrow().get(&key).map_or(0, DeltaDecoder::known);
+            let delta = engine::counts_since(&self.gateway, key, known).await?;
+            let counts = self.decoders.borrow_mut().entry(key).or_default().decode(delta)?;
+            Some((key, counts))
         });
-        join_all(asked).await.into_iter().flatten().collect()
+        join_all(reads).await.into_iter().flatten().collect()
     }
 
-    /// The ranks in the own data centre, and as many others as make up [`RANKS_NEARBY`].
-    fn nearby(&self, ranks: &[Key<Server>]) -> Vec<Key<Server>> {
+    /// The ranks in the own data centre, with others up to [`MIN_SIDECAR_RANKS`] if they are fewer.
+    fn sidecar_ranks(&self, ranks: &[Key<Server>]) -> Vec<Key<Server>> {
         let own = self.gateway.with_members(|members| members.own().data_centre.clone());
-        let (mut near, far): (Vec<_>, Vec<_>) = self.gateway.with_pool(|pool| {
-            let is_near = |key: &Key<Server>| pool.server(*key).listed.data_centre == own;
-            ranks.iter().copied().partition(is_near)
+        let (mut local, remote): (Vec<_>, Vec<_>) = self.gateway.with_pool(|pool| {
+            let is_local = |key: &Key<Server>| pool.server(*key).listed.data_centre == own;
+            ranks.iter().copied().partition(is_local)
         });
-        let lacking = RANKS_NEARBY.saturating_sub(near.len());
-        near.extend(far.into_iter().take(lacking));
-        near
+        let missing = MIN_SIDECAR_RANKS.saturating_sub(local.len());
+        local.extend(remote.into_iter().take(missing));
+        local
     }
 
-    /// Notes how many ranks answered. Where most do not, it is this gateway that is cut off: it does
-    /// not tell of its lead any more, so that one that reaches them takes over.
-    fn note_reached(&self, reached: usize, all: usize) {
+    /// Records how many ranks answered. If most did not, this gateway is considered cut off: it
+    /// stops advertising its leadership, so that a gateway that reaches the ranks takes over.
+    fn record_reached(&self, reached: usize, all: usize) {
         let now = self.gateway.now();
         if 2 * reached >= all {
             if self.unreached_since.take().is_some() {
@@ -420,33 +437,36 @@
         }
         let since = self.unreached_since.get().unwrap_or(now);
         if self.unreached_since.replace(Some(since)).is_none() {
-            let line = format_args!("{reached} of {all} ranks of {} are reached", self.name);
+            let line = format_args!("only {reached} of {all} ranks of {} answer", self.name);
             self.gateway.journal.state(line);
         }
-        if now.since(since) >= UNREACHED_MOST {
+        if now.since(since) >= MAX_UNREACHED_TIME {
             self.gateway.with_members(|members| members.advertise_leadership(false));
         }
     }
 
-    /// Reads one of a few ranks, always the same, in turn: what is counted is what came between two
-    /// readings. Each has a price, so none is made while the groups have no work.
-    async fn read_from_afar(&self, ranks: &[Key<Server>]) -> Option<(Key<Server>, Counts)> {
-        let passed_over = self.passed_over.get();
-        if !self.demand.borrow().busy && passed_over < IDLE_READINGS {
-            self.passed_over.set(passed_over + 1);
+    /// Reads the counts of one rank. The same few ranks are read in turn, since the difference
+    /// between two reads of a rank is what counts. Each read has a price, so most are skipped while
+    /// the groups have no work.
+    async fn read_directly(&self, ranks: &[Key<Server>]) -> Option<(Key<Server>, Counts)> {
+        let skipped_reads = self.skipped_reads.get();
+        if !self.demand.borrow().busy && skipped_reads < MAX_SKIPPED_READS {
+            self.skipped_reads.set(skipped_reads + 1);
             return None;
         }
-        self.passed_over.set(0);
-        let stride = (ranks.len() / RANKS_READ).max(1);
-        let turn = self.turn.replace(self.turn.get().wrapping_add(1)) % RANKS_READ.min(ranks.len());
-        let key = ranks[turn * stride];
+        self.skipped_reads.set(0);
+        let stride = (ranks.len() / MAX_DIRECT_RANKS).max(1);
+        let sample = self.next_sample.replace(self.next_sample.get().wrapping_add(1))
+            % MAX_DIRECT_RANKS.min(ranks.len());
+        let key = ranks[sample * stride];
         Some((key, engine::counts(&self.gateway, key, Path::Any).await?))
     }
 
-    /// Whether a map may begin to be changed.
-    fn may_order(&self) -> bool {
+    /// Whether this gateway may begin to change a map.
+    fn may_change_map(&self) -> bool {
         let now = self.gateway.now();
-        !self.lead.is_over() && self.gateway.with_members(|members| members.may_send_orders(now))
+        !self.leadership.is_over()
+            && self.gateway.with_members(|members| members.may_send_orders(now))
     }
 
     fn are_present(&self, ranks: &[Key<Server>]) -> bool {
--- a/crates/direct/src/maps/group.rs
+++ b/crates/direct/src/maps/group.rs
@@ -1,4 +1,6 @@
-//! One group's map: read, planned anew as demand changes, and switched by orders to its ranks.
+//! Task for the expert map of one group: reads it, plans a new one, and switches to it by orders.
+//! Input: demand and paces of the service, reports of the ranks. State: the group's map as known.
+//! It decides when to plan, and what each outcome of a switch means for the next one.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -29,86 +31,89 @@
 use crate::engine::Path;
 use crate::engine::Question;
 use crate::gateway::Gateway;
-use crate::maps::LEAD_EVERY;
+use crate::maps::LEADERSHIP_CHECK_INTERVAL;
+use crate::maps::RECLAIM_PAUSE;
 use crate::maps::Service;
-use crate::maps::YIELD_WHEN_DEPOSED;
 use crate::platform::EngineAsk;
 use crate::platform::EngineReport;
 use crate::platform::Platform;
 
-/// Longest time until a group is looked at again where no counts are read.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Maximum time between two plans for a group while no counts are read.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Version of the map that groups begin with.
+/// Version of a group's initial map.
 const FIRST_MAP: u64 = 0;
 
 /// A group's map as its leader knows it.
-struct Known {
+struct KnownMap {
     epoch: u64,
     version: u64,
     layout: Layout,
-    /// What the next switch need not look at.
+    /// What the next switch already knows about the ranks.
     start: Start,
-    /// Whether a predecessor left a switch half done: a hold would stand for good.
-    unsettled: bool,
+    /// Whether an earlier leader left a switch unfinished: a hold of it would otherwise stay in
+    /// force permanently.
+    is_switch_unfinished: bool,
 }
 
-impl Known {
-    /// Whether the ranks of a switch told of another map, or of another life of their group. What is
-    /// planned from this one may need more copies then.
+impl KnownMap {
+    /// Whether the ranks of a switch reported another map, or another epoch of their group. A plan
+    /// that is based on this map may then need more copies.
     fn is_outdated(&self, switch: &Switch) -> bool {
-        let moved = switch.surveyed_map().is_some_and(|map| map != self.version);
-        moved || switch.epoch().is_some_and(|epoch| epoch != self.epoch)
+        let other_map = switch.surveyed_map().is_some_and(|map| map != self.version);
+        other_map || switch.epoch().is_some_and(|epoch| epoch != self.epoch)
     }
 }
 
-/// Follows demand with one group's map, as long as the lead of its service goes on.
-pub(super) async fn lead<P: Platform>(service: Rc<Service<P>>, group: String) {
-    let mut known: Option<Known> = None;
-    let mut versions = Versions::of_fencing_token(service.fence);
-    while !service.lead.is_over() {
-        // What was planned from the same counts before would be planned again.
-        drop(time::timeout(LOOK_EVERY, service.counted.notified()).await);
+/// Adapts one group's map to demand until the leadership of its service ends.
+pub(super) async fn manage<P: Platform>(service: Rc<Service<P>>, group: String) {
+    let mut known: Option<KnownMap> = None;
+    let mut versions = Versions::of_fencing_token(service.fencing_token);
+    while !service.leadership.is_over() {
+        // Another plan from the same counts would have the same result.
+        drop(time::timeout(MAX_PLAN_INTERVAL, service.counts_read.notified()).await);
         let Some(ranks) = service.ranks_of(&group) else { continue };
-        // A group that began anew has its first map, whatever it had before.
+        // A group in a new epoch has the initial map.
         let epoch = service.demand.borrow().epoch_of(&ranks);
         known = known.filter(|known| epoch.is_none_or(|epoch| epoch <= known.epoch));
         if known.is_none() {
-            known = learn(&service, &ranks).await;
+            known = read_map(&service, &ranks).await;
             if known.is_none() {
-                time::sleep(LEAD_EVERY).await;
+                time::sleep(LEADERSHIP_CHECK_INTERVAL).await;
             }
         }
-        if !service.may_order() {
+        if !service.may_change_map() {
             // Another leader may change the map meanwhile.
             known = None;
             continue;
         }
-        let Some(before) = &known else { continue };
-        let Some(planned) = next_layout(&service, before, &ranks) else { continue };
-        let switch = begin(&service, versions, before, &planned, ranks.len());
+        let Some(current) = &known else { continue };
+        let Some(planned) = next_layout(&service, current, &ranks) else { continue };
+        let switch = begin(&service, versions, current, &planned, ranks.len());
         let map = expert_layout::by_rank(&planned, ranks.len());
-        let asked = Asked { ranks: &ranks, map: &map, newest: RefCell::default() };
-        let (done, ended) = carry_out(&service, &asked, switch, before).await;
-        versions = done.versions();
-        known = conclude(&service, &group, planned, &done, &ended);
+        let target = SwitchTarget { ranks: &ranks, map: &map, newest: RefCell::default() };
+        let (ended_switch, outcome) = run_switch(&service, &target, switch, current).await;
+        versions = ended_switch.versions();
+        known = conclude(&service, &group, planned, &ended_switch, &outcome);
     }
 }
 
-/// What a group is to be switched to, if to anything.
+/// The layout that a group is to be switched to, if any.
 fn next_layout<P: Platform>(
     service: &Service<P>,
-    before: &Known,
+    current: &KnownMap,
     ranks: &[Key<Server>],
 ) -> Option<Layout> {
     let demand = service.demand.borrow();
     let paces = service.paces_of(ranks);
-    let planned = expert_layout::plan(&service.shape, &demand, &before.layout, &paces);
+    let planned = expert_layout::plan(&service.shape, &demand, &current.layout, &paces);
     let Some(planned) = planned else {
-        return before.unsettled.then(|| before.layout.clone());
+        return current.is_switch_unfinished.then(|| current.layout.clone());
     };
     let Planned { layout, skew_before, skew_after } = planned;
-    let line = format_args!("skew {skew_before:.2} is to be {skew_after:.2}");
+    let line = format_args!(
+        "planned a map that changes the skew from {skew_before:.2} to {skew_after:.2}"
+    );
     service.gateway.journal.state(line);
     Some(layout)
 }
@@ -116,58 +121,62 @@
 fn begin<P: Platform>(
     service: &Service<P>,
     versions: Versions,
-    before: &Known,
+    current: &KnownMap,
     planned: &Layout,
     ranks: usize,
 ) -> Switch {
-    let beside = service.gateway.sidecars_port > 0;
-    let mut config = if beside {
+    let has_sidecars = service.gateway.sidecars_port > 0;
+    let mut config = if has_sidecars {
         map_orders::Config::for_fresh_reports()
     } else {
         map_orders::Config::default()
     };
     config.pass_length = service.passes.borrow().length().unwrap_or(config.pass_length);
-    let copy = expert_layout::copy_time(&service.shape, &before.layout, planned, ranks);
-    Switch::new(config, versions, ranks, before.start, copy)
+    let copy = expert_layout::copy_time(&service.shape, &current.layout, planned, ranks);
+    Switch::new(config, versions, ranks, current.start, copy)
 }
 
-/// What is known of the group after a switch; `None` if it has to be read anew.
+/// The known map after a switch; `None` if it has to be read again.
 fn conclude<P: Platform>(
     service: &Service<P>,
     group: &str,
     planned: Layout,
-    done: &Switch,
-    ended: &Next,
-) -> Option<Known> {
+    ended_switch: &Switch,
+    outcome: &Next,
+) -> Option<KnownMap> {
     let journal = &service.gateway.journal;
-    match ended {
+    match outcome {
         Next::Switched => {
-            let epoch = done.epoch().unwrap_or_default();
-            let version = done.version();
+            let epoch = ended_switch.epoch().unwrap_or_default();
+            let version = ended_switch.version();
             journal.state(format_args!("group {group}: map {version} in force"));
             let start = Start::Settled { epoch };
-            Some(Known { epoch, version, layout: planned, start, unsettled: false })
+            Some(KnownMap { epoch, version, layout: planned, start, is_switch_unfinished: false })
         }
         Next::Superseded => {
-            journal.state(format_args!("group {group}: another leader has a higher fence"));
-            service.lead.yield_for(YIELD_WHEN_DEPOSED, service.gateway.now());
+            journal.state(format_args!("group {group}: another leader has a higher fencing token"));
+            service.leadership.yield_for(RECLAIM_PAUSE, service.gateway.now());
             None
         }
         Next::VersionsExhausted => {
-            journal
-                .state(format_args!("group {group}: no version is left, the lead is claimed anew"));
-            service.lead.end();
+            journal.state(format_args!(
+                "group {group}: no map version is left, claiming leadership again"
+            ));
+            service.leadership.end();
             None
         }
         other => {
-            journal.state(format_args!("group {group}: {other:?} at {}", done.describe()));
+            journal.state(format_args!(
+                "group {group}: switch ended with {other:?} at {}",
+                ended_switch.describe()
+            ));
             None
         }
     }
 }
 
-/// Reads a group's map: from its version where that is the first one, else from its ranks.
-async fn learn<P: Platform>(service: &Service<P>, ranks: &[Key<Server>]) -> Option<Known> {
+/// Reads a group's map from its ranks; the initial map is known from its version.
+async fn read_map<P: Platform>(service: &Service<P>, ranks: &[Key<Server>]) -> Option<KnownMap> {
     let reports = ranks.iter().map(|key| engine::report(&service.gateway, *key, Path::Any));
     let reports: Option<Vec<EngineReport>> = join_all(reports).await.into_iter().collect();
     let reports = reports?;
@@ -183,22 +192,22 @@
         FIRST_MAP => expert_layout::first(&service.shape, ranks.len()),
         map => read_layout(service, ranks, map).await?,
     };
-    let unsettled =
+    let is_switch_unfinished =
         reports.iter().any(|report| report.state.held.is_some() || report.state.armed.is_some());
     let (epoch, version) = (first.epoch, first.map);
-    Some(Known { epoch, version, layout, start: Start::Unknown, unsettled })
+    Some(KnownMap { epoch, version, layout, start: Start::Unknown, is_switch_unfinished })
 }
 
-/// Asks all ranks which experts they hold; `None` if one does not tell, or uses another map.
+/// Requests the experts of all ranks; `None` if one does not answer, or uses another map.
 async fn read_layout<P: Platform>(
     service: &Service<P>,
     ranks: &[Key<Server>],
     map: u64,
 ) -> Option<Layout> {
-    let told = ranks.iter().map(|key| engine::experts(&service.gateway, *key));
+    let responses = ranks.iter().map(|key| engine::experts(&service.gateway, *key));
     let mut by_rank = Vec::with_capacity(ranks.len());
-    for told in join_all(told).await {
-        let (version, held) = told?;
+    for response in join_all(responses).await {
+        let (version, held) = response?;
         if version != map {
             return None;
         }
@@ -207,114 +216,118 @@
     expert_layout::from_ranks(&service.shape, &by_rank)
 }
 
-/// Who is asked in a switch, and about what.
-struct Asked<'a> {
+/// The ranks that a switch sends orders to, and the new map.
+struct SwitchTarget<'a> {
     ranks: &'a [Key<Server>],
     /// The map: experts by set and rank.
     map: &'a [Vec<Vec<u16>>],
-    /// The newest order as it is put to ranks: most rounds give all of them the same, with the whole
-    /// map where it is to be prepared.
+    /// The newest order, as encoded for ranks. Most rounds send the same order to all of them,
+    /// which contains the whole map if it is to be prepared.
     newest: RefCell<Option<(FencedOrder, Rc<Question>)>>,
 }
 
-/// How long the parts of a switch took, for logs.
-struct Parts {
+/// Duration of each phase of a switch, for logs.
+struct PhaseTimes {
     phase: Phase,
     since: Millis,
-    took: Vec<(Phase, Millis)>,
+    finished: Vec<(Phase, Millis)>,
 }
 
-impl Parts {
-    fn new(phase: Phase, now: Millis) -> Parts {
-        Parts { phase, since: now, took: Vec::new() }
+impl PhaseTimes {
+    fn new(phase: Phase, now: Millis) -> PhaseTimes {
+        PhaseTimes { phase, since: now, finished: Vec::new() }
     }
 
-    fn note(&mut self, phase: Phase, now: Millis) {
+    fn record(&mut self, phase: Phase, now: Millis) {
         if phase != self.phase {
-            self.took.push((self.phase, now.since(self.since)));
+            self.finished.push((self.phase, now.since(self.since)));
             (self.phase, self.since) = (phase, now);
         }
     }
 }
 
-impl fmt::Display for Parts {
+impl fmt::Display for PhaseTimes {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (phase, took)) in self.took.iter().enumerate() {
-            let comma = if place > 0 { ", " } else { "" };
-            write!(to, "{comma}{phase:?} {} ms", took.0)?;
+        for (index, (phase, duration)) in self.finished.iter().enumerate() {
+            let comma = if index > 0 { ", " } else { "" };
+            write!(to, "{comma}{phase:?} {} ms", duration.0)?;
         }
         Ok(())
     }
 }
 
-/// Brings a map in, round by round.
-async fn carry_out<P: Platform>(
+/// Runs a switch to its end, round by round.
+async fn run_switch<P: Platform>(
     service: &Service<P>,
-    asked: &Asked<'_>,
+    target: &SwitchTarget<'_>,
     mut switch: Switch,
-    before: &Known,
+    current: &KnownMap,
 ) -> (Switch, Next) {
-    let mut parts = Parts::new(switch.phase(), service.gateway.now());
+    let mut phase_times = PhaseTimes::new(switch.phase(), service.gateway.now());
     loop {
-        parts.note(switch.phase(), service.gateway.now());
-        if !service.are_present(asked.ranks) || !service.may_order() {
+        phase_times.record(switch.phase(), service.gateway.now());
+        if !service.are_present(target.ranks) || !service.may_change_map() {
             switch.withdraw();
         }
         match switch.step() {
-            Next::Round(asks) => {
-                if before.is_outdated(&switch) && switch.is_before_orders() {
+            Next::Round(requests) => {
+                if current.is_outdated(&switch) && switch.is_before_orders() {
                     return (switch, Next::Changed);
                 }
-                let replies = asks.iter().map(|(rank, ask)| async {
-                    (*rank, *ask, ask_rank(service, asked, *rank, *ask).await)
+                let replies = requests.iter().map(|(rank, request)| async {
+                    (*rank, *request, send_to_rank(service, target, *rank, *request).await)
                 });
                 let replies = join_all(replies).await;
                 switch.apply_replies(&replies);
             }
             Next::Pause(span) => time::sleep(Duration::from(span)).await,
-            ended => {
-                parts.note(Phase::Survey, service.gateway.now());
-                let line = format_args!("map {}: {ended:?} after {parts}", switch.version());
+            outcome => {
+                phase_times.record(Phase::Survey, service.gateway.now());
+                let line = format_args!(
+                    "switch to map {}: {outcome:?} after {phase_times}",
+                    switch.version()
+                );
                 service.gateway.journal.state(line);
-                return (switch, ended);
+                return (switch, outcome);
             }
         }
     }
 }
 
-async fn ask_rank<P: Platform>(
+async fn send_to_rank<P: Platform>(
     service: &Service<P>,
-    asked: &Asked<'_>,
+    target: &SwitchTarget<'_>,
     rank: usize,
-    ask: RankRequest,
+    request: RankRequest,
 ) -> Reply {
-    let key = asked.ranks[rank];
-    match ask {
+    let key = target.ranks[rank];
+    match request {
         RankRequest::Report => match engine::report(&service.gateway, key, Path::Any).await {
             Some(report) => Reply::Report(report.state),
             None => Reply::NoAnswer,
         },
         RankRequest::Order(fenced) => {
-            let order = asked.question(&service.gateway, fenced);
-            let path = asked.path_of(&service.gateway, fenced.order);
+            let order = target.encoded_order(&service.gateway, fenced);
+            let path = target.path_of(&service.gateway, fenced.order);
             engine::order(&service.gateway, key, &order, path).await
         }
     }
 }
 
-impl Asked<'_> {
-    /// An order as it is put to ranks.
-    fn question<P: Platform>(&self, gateway: &Gateway<P>, order: FencedOrder) -> Rc<Question> {
+impl SwitchTarget<'_> {
+    /// An order as encoded for ranks.
+    fn encoded_order<P: Platform>(&self, gateway: &Gateway<P>, order: FencedOrder) -> Rc<Question> {
         let mut newest = self.newest.borrow_mut();
-        if let Some((_, question)) = newest.as_ref().filter(|(known, _)| *known == order) {
-            return question.clone();
+        if let Some((_, encoded)) = newest.as_ref().filter(|(known, _)| *known == order) {
+            return encoded.clone();
         }
-        let question = Rc::new(Question::new(gateway, &EngineAsk::Order(&order, self.map)));
-        *newest = Some((order, question.clone()));
-        question
+        let encoded = Rc::new(Question::new(gateway, &EngineAsk::Order(&order, self.map)));
+        *newest = Some((order, encoded.clone()));
+        encoded
     }
 
-    /// How an order reaches its rank; through the rank's own machine where no other gateway lives.
+    /// The path on which an order is sent to its rank: through the rank's own machine if no other
+    /// gateway is alive.
     fn path_of<P: Platform>(&self, gateway: &Gateway<P>, order: Order) -> Path {
         match order.sender() {
             Sender::Remote => gateway.next_relay().map_or(Path::Any, Path::Through),
--- a/crates/direct/src/maps/paces.rs
+++ b/crates/direct/src/maps/paces.rs
@@ -1,4 +1,8 @@
-//! How fast the ranks of a service are, and what gateways are told of those that are slow.
+//! Paces of the ranks of a service, and reports of slow servers to all gateways.
+//! Input: engine reports. State: the last pace of each rank, and the last slow-server report.
+//! It decides which servers are slow, and when to report them.
+//!
+//! A rank's pace is how long its work takes, as a multiple of the usual time.
 
 use std::collections::BTreeMap;
 
@@ -13,33 +17,34 @@
 use crate::maps::Service;
 use crate::platform::Platform;
 
-/// Pace from which a server is given no requests while others have room: all ranks of its group wait
-/// for it.
+/// Pace from which a server is slow and gets no requests while other servers have room, since all
+/// ranks of its group wait for it.
 const SLOW_PACE: f64 = 1.4;
 
-/// Time between two tellings while servers are slow.
-const TELL_EVERY: Millis = Millis(1_000);
+/// Time between two reports while servers are slow.
+const REPORT_INTERVAL: Millis = Millis(1_000);
 
-/// Bounds of what a rank tells of its pace: beyond the upper one it gets next to no tokens anyway.
-const PACES: (f64, f64) = (0.1, 100.0);
+/// Bounds to which the pace that a rank reports is limited. A rank beyond the upper one gets next
+/// to no tokens anyway.
+const PACE_BOUNDS: (f64, f64) = (0.1, 100.0);
 
-/// A rank's pace where none was told: its work takes the usual time.
+/// Pace of a rank that reported none: its work takes the usual time.
 const USUAL_PACE: f64 = 1.0;
 
-/// The paces that ranks told last, and the last finding.
+/// The last paces that ranks reported, and the last report of slow servers.
 pub(super) struct Paces {
-    /// How long each rank's work takes over the usual time, as far as it was told.
+    /// The pace of each rank that reported one in the last read.
     by_rank: BTreeMap<Key<Server>, f64>,
-    /// What gateways were told of slow servers, and when.
-    told: SlowServerReport,
-    told_at: Millis,
+    /// The last report to all gateways, and its time.
+    last_report: SlowServerReport,
+    reported_at: Millis,
 }
 
 impl Paces {
-    /// Nothing was told yet; the leader with this fencing token finds.
-    pub(super) fn new(fence: u64) -> Paces {
-        let told = SlowServerReport { fencing_token: fence, ..SlowServerReport::default() };
-        Paces { by_rank: BTreeMap::new(), told, told_at: Millis::ZERO }
+    /// No paces yet, for the leader with this fencing token.
+    pub(super) fn new(fencing_token: u64) -> Paces {
+        let last_report = SlowServerReport { fencing_token, ..SlowServerReport::default() };
+        Paces { by_rank: BTreeMap::new(), last_report, reported_at: Millis::ZERO }
     }
 
     /// Ranks that are slow.
@@ -47,33 +52,34 @@
         self.by_rank.iter().filter(|(_, pace)| **pace >= SLOW_PACE).map(|(key, _)| *key)
     }
 
-    /// Whether these slow servers are told now: where that has changed, and each second while some
-    /// are.
+    /// Whether these slow servers are to be reported now: if they differ from the last report, and
+    /// each second while there are any.
     fn is_due(&self, servers: &[String], now: Millis) -> bool {
-        let again = !servers.is_empty() && now.since(self.told_at) >= TELL_EVERY;
-        again || servers != self.told.servers
+        let repeat_due = !servers.is_empty() && now.since(self.reported_at) >= REPORT_INTERVAL;
+        repeat_due || servers != self.last_report.servers
     }
 }
 
 impl<P: Platform> Service<P> {
-    /// Reads how fast the ranks are, where that costs nothing. One that does not tell counts as usual.
+    /// Reads how fast the ranks are through sidecars, which has no price. A rank without an answer
+    /// has the usual pace.
     pub(super) async fn read_paces(&self, ranks: &[Key<Server>]) {
         if self.gateway.sidecars_port == 0 {
             return;
         }
-        let asked = ranks.iter().map(|key| async {
+        let reads = ranks.iter().map(|key| async {
             let report = engine::report(&self.gateway, *key, Path::Sidecar).await?;
-            Some((*key, report.pace.clamp(PACES.0, PACES.1)))
+            Some((*key, report.pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1)))
         });
-        let told: BTreeMap<Key<Server>, f64> =
-            join_all(asked).await.into_iter().flatten().collect();
-        self.note_reached(told.len(), ranks.len());
-        self.paces.borrow_mut().by_rank = told;
-        self.tell_slow();
+        let received: BTreeMap<Key<Server>, f64> =
+            join_all(reads).await.into_iter().flatten().collect();
+        self.record_reached(received.len(), ranks.len());
+        self.paces.borrow_mut().by_rank = received;
+        self.report_slow_servers();
     }
 
-    /// Tells all gateways which servers are slow, if that is due.
-    fn tell_slow(&self) {
+    /// Reports the slow servers to all gateways, if that is due.
+    fn report_slow_servers(&self) {
         let mut paces = self.paces.borrow_mut();
         let id =
             |key: Key<Server>| self.gateway.with_pool(|pool| pool.server(key).listed.id.clone());
@@ -82,15 +88,15 @@
         if !paces.is_due(&servers, now) {
             return;
         }
-        if servers != paces.told.servers {
+        if servers != paces.last_report.servers {
             let (all, name) = (paces.by_rank.len(), &self.name);
             let journal = &self.gateway.journal;
             journal.state(format_args!("{} of {all} servers of {name} are slow", servers.len()));
         }
-        paces.told_at = now;
-        paces.told.number += 1;
-        paces.told.servers = servers;
-        self.gateway.take_finding(&self.name, &paces.told);
+        paces.reported_at = now;
+        paces.last_report.number += 1;
+        paces.last_report.servers = servers;
+        self.gateway.take_finding(&self.name, &paces.last_report);
     }
 
     /// The paces of these ranks, in their order.
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -148,8 +148,9 @@
         }
     }
 
-    /// The seed to contact in a round, if any. One is contacted in each of the first rounds, as many
-    /// as there are seeds, then in one of [`SEED_INTERVAL_ROUNDS`], and in each one while `alone`.
+    /// The seed to contact in a round, if any. One is contacted in each of the first rounds, as
+    /// many as there are seeds, then in one of [`SEED_INTERVAL_ROUNDS`], and in each one while
+    /// `alone`.
     fn seed<P: Platform>(
         &self,
         gateway: &Gateway<P>,
--- a/crates/direct/src/peers/connection_pool.rs
+++ b/crates/direct/src/peers/connection_pool.rs
@@ -23,13 +23,13 @@
         ConnectionPool { max_idle, idle: RefCell::default() }
     }
 
-    /// Runs `exchange` over an idle connection to an address, or over a new one if there is none. If
-    /// the exchange over an idle connection fails, it is retried once over a new one, since the
+    /// Runs `exchange` over an idle connection to an address, or over a new one if there is none.
+    /// If the exchange over an idle connection fails, it is retried once over a new one, since the
     /// peer may have been restarted.
     ///
     /// # Errors
     ///
-    /// As `exchange`.
+    /// The error of `exchange`.
     pub(crate) async fn exchange<T>(
         &self,
         address: SocketAddr,
--- a/crates/direct/src/peers/messages.rs
+++ b/crates/direct/src/peers/messages.rs
@@ -92,7 +92,8 @@
     }
 }
 
-/// What the peer lacks according to its reply, if anything.
+/// What the peer lacks according to its reply, with requests for crashes that this gateway lacks;
+/// `None` if there is neither.
 pub(super) fn follow_up<P: Platform>(gateway: &Gateway<P>, reply: &PeerNews) -> Option<PeerNews> {
     let wanted: Vec<IncarnationId> =
         reply.wanted_numbers.iter().copied().map(IncarnationId).collect();
@@ -125,8 +126,8 @@
     }
 }
 
-/// Adds the crashes that the peer lacks according to its reply, and requests those that this gateway
-/// lacks.
+/// Adds the crashes that the peer lacks according to its reply, and requests those that this
+/// gateway lacks.
 fn with_missing_crashes<P: Platform>(
     gateway: &Gateway<P>,
     message: PeerNews,
@@ -279,8 +280,8 @@
     advertised.iter().map(|advertised| limit_to_wire(server, advertised, now)).collect()
 }
 
-/// The limits in a message of another gateway. Each was received by that gateway up to `delay`, plus
-/// an allowance for the transit, earlier than the ages in the message say.
+/// The limits in a message of another gateway. The earliest time of each is moved back by `delay`
+/// and an allowance for the transit, since the ages in the message do not include these.
 pub(crate) fn received_limits(
     message: &PeerNews,
     now: Millis,
@@ -314,8 +315,8 @@
     apply_message(gateway, message, &received_heartbeats(message, delay), delay);
 }
 
-/// Applies a message that another gateway sent up to `delay` ago, with these heartbeats. Returns the
-/// incarnations of the heartbeats that are not known here.
+/// Applies a message that another gateway sent up to `delay` ago, with these heartbeats. Returns
+/// the incarnations of the heartbeats that are not known here.
 fn apply_message<P: Platform>(
     gateway: &Gateway<P>,
     message: &PeerNews,
@@ -402,8 +403,8 @@
     }
 }
 
-/// The heartbeats in a message, with `delay` added to each age. A gateway of an earlier version sends
-/// no ages.
+/// The heartbeats in a message, with `delay` added to each age. A gateway of an earlier version
+/// sends no ages.
 fn received_heartbeats(message: &PeerNews, delay: Millis) -> Vec<Heartbeat> {
     let ages = message.beat_ages_ms.iter().copied().chain(iter::repeat(0));
     let received = message.beats.iter().zip(ages);
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -5,7 +5,8 @@
 //! An engine answers requests of its own machine with a fresh report, and neither reports nor
 //! orders have a price there. Reports to other machines are late, and each request from them
 //! disturbs the group. So the leader sends its requests through the sidecar, and directly only if
-//! there is none. The counts sent last are the base of the next ones, which are sent as differences.
+//! there is none. The counts sent last are the base of the next ones, which are sent as
+//! differences.
 //!
 //! Gateways relay in the same way, to the engine that a request names:
 //! [`hooktrestle_core::direct::relays`] describes which orders go through them.
@@ -54,22 +55,23 @@
 use crate::headers;
 use crate::platform::Platform;
 
-/// Header with the address of the engine that a request is for. Without it, that is the local engine.
+/// Header with the address of the engine that a request is for. Without it, that is the local
+/// engine.
 pub(crate) const ENGINE_HEADER: &str = "hooktrestle-engine";
 
 /// Header of a request for counts with the number of a counter snapshot: the response is to contain
 /// the differences from that snapshot, compressed.
 pub(crate) const SINCE_HEADER: &str = "hooktrestle-since";
 
-/// Time-out of a request to the engine. A local engine answers within a few milliseconds, and a group
-/// may be held until an order without an answer is retried.
+/// Time-out of a request to the engine. A local engine answers within a few milliseconds, and a
+/// group may be held until an order without an answer is retried.
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Maximum size of a relayed body. A map of 64 ranks and 256 experts has some 100 KB.
 pub(crate) const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The local engine, and idle connections to it and to other engines. `C` returns whether the engine
-/// at an address accepts only local orders now, as it is backing off or advertises a limit.
+/// The local engine, and idle connections to it and to other engines. `C` returns whether the
+/// engine at an address accepts only local orders now, as it is backing off or advertises a limit.
 struct Engines<C> {
     is_local_only: C,
     /// `None` at a gateway, which has no local engine.
@@ -87,14 +89,14 @@
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address to listen on cannot be bound.
 pub async fn run(settings: &SidecarRoleSettings, decode_counts: DecodeCounts) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hang_up = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(&settings.listen)
         .await
         .wrap_err_with(|| format!("cannot listen on {}", settings.listen))?;
-    // Orders of this process are local for its engine.
+    // Orders of this process are local ones for its engine, which it always accepts.
     let engines = Rc::new(Engines::new(Some(settings.engine.parse()?), decode_counts, |_| false));
     spdlog::info!("sidecar of {} started", settings.engine);
     let log_error =
--- a/crates/direct/src/table_sync.rs
+++ b/crates/direct/src/table_sync.rs
@@ -25,16 +25,16 @@
 /// Time between two polls of a table that other gateways of the data centre follow closely. Changes
 /// in between come from these. A gateway that loses contact with them, or with all others, detects
 /// that within 3 s and then follows closely itself. Nearly all gateways of a large fleet follow
-/// loosely: waiting calls of 149 gateways all get a response at each change, which makes 1,043 calls
-/// for seven changes of the configuration. The interval is below the 20 s of history that the users'
-/// store has.
+/// loosely: waiting calls of 149 gateways all get a response at each change, which makes 1,043
+/// calls for seven changes of the configuration. The interval is below the 20 s of history that the
+/// users' store has.
 const LOOSE_POLL_INTERVAL: Duration = Duration::from_millis(15_000);
 
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Maximum pause after consecutive failed calls, each of which doubles it. Refused calls have a price,
-/// too: with a constant pause, 49 gateways that are refused for 9 s would make 3,500 calls.
+/// Maximum pause after consecutive failed calls, each of which doubles it. Refused calls have a
+/// price, too: with a constant pause, 49 gateways that are refused for 9 s would make 3,500 calls.
 /// Changes made during an outage are due 5 s after its end, and arrive from peers meanwhile.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
 
@@ -48,8 +48,8 @@
 /// Time between two checks of whether this gateway is to follow closely, or of unconfirmed rows.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two polls of the table of gateways. Only a gateway that no other gateway knows needs
-/// the table.
+/// Time between two polls of the table of gateways. Only a gateway that no other gateway knows
+/// needs the table.
 const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Time between two polls of that table while no other gateway is known to be alive.
@@ -95,7 +95,8 @@
             Err(failure) => {
                 gateway.note_store(false, &failure);
                 time::sleep(pause).await;
-                // Without any copy of the table this gateway cannot serve, so the pause stays short.
+                // Without any copy of the table this gateway cannot serve, so the pause stays
+                // short.
                 let max_pause = if gateway.knows(table) { MAX_RETRY_PAUSE } else { RETRY_PAUSE };
                 pause = max_pause.min(2 * pause);
                 continue;
@@ -122,7 +123,8 @@
 }
 
 /// The time for which the next call may wait for changes. While other gateways follow closely, this
-/// returns only after the poll interval, or once they are gone or this gateway is cut off from them.
+/// returns only after the poll interval, or once they are gone or this gateway is cut off from
+/// them.
 async fn next_wait<P: Platform>(gateway: &Gateway<P>) -> Duration {
     if follows_closely(gateway) {
         return FOLLOW_WAIT;
