--- a/crates/direct/src/crash_sync.rs
+++ b/crates/direct/src/crash_sync.rs
@@ -36,19 +36,19 @@
     // Number of stored crashes of each request, as far as this gateway knows.
     let mut eras = gateway.watch_eras();
     let mut stored: BTreeMap<Fingerprint, usize> = read(&gateway).await;
-    let mut read_in = gateway.platform.store_era();
+    let mut read_era = gateway.platform.store_era();
     loop {
         tokio::select! {
             () = time::sleep(EXPIRY_CHECK_INTERVAL) => {}
             // A notification that arrives while this task is busy is not lost: `Notify` stores it.
             () = gateway.crashes_changed.notified() => {}
-            _ = eras.wait_for(|era| *era > Some(read_in)) => {
+            _ = eras.wait_for(|era| *era > Some(read_era)) => {
                 // The store may have lost written rows, and may have removed rows again.
                 if !stored.is_empty() || !gateway.crashes_to_keep().is_empty() {
                     time::sleep(gateway.turn_to_write()).await;
                     stored = read(&gateway).await;
                 }
-                read_in = gateway.era().unwrap_or_default();
+                read_era = gateway.era().unwrap_or_default();
             }
         }
         let mut pauses = RetryPauses::default();
--- a/crates/direct/src/table_sync.rs
+++ b/crates/direct/src/table_sync.rs
@@ -146,27 +146,27 @@
 /// until this process stops.
 pub async fn maintain_membership_row<P: Platform>(gateway: Rc<Gateway<P>>) {
     let mut eras = gateway.watch_eras();
-    let (mut listed_in, mut pause) = (None, RETRY_PAUSE);
+    let (mut row_era, mut pause) = (None, RETRY_PAUSE);
     // The row of a process that stops is removed, and must not be written again.
     while gateway.phase() == Phase::Running {
         let own = gateway.with_members(|members| members.own().clone());
         // After a new era of the store the row is written again without a read: the other gateways
         // gossip what they write again, too.
         let mut reads = true;
-        if listed_in < gateway.era() || listed_in.is_none() {
-            reads = listed_in.is_none();
+        if row_era < gateway.era() || row_era.is_none() {
+            reads = row_era.is_none();
             let value = messages::member_to_json(&own);
-            let written_in = gateway.platform.write_member(&own.name, Some(&value)).await.ok();
-            listed_in = written_in.filter(|era| Some(*era) >= gateway.era());
+            let written_era = gateway.platform.write_member(&own.name, Some(&value)).await.ok();
+            row_era = written_era.filter(|era| Some(*era) >= gateway.era());
         }
         if reads && let Ok(update) = gateway.platform.read(Table::Members).await {
             // Gateways that received no heartbeat of this one may have removed its row.
             let is_listed = update.changes.iter().any(|change| change.key == own.name);
-            listed_in = listed_in.filter(|_| is_listed);
+            row_era = row_era.filter(|_| is_listed);
             apply_members_table(&gateway, &update).await;
         }
         let now = gateway.now();
-        let Some(era) = listed_in else {
+        let Some(era) = row_era else {
             pause = MAX_RETRY_PAUSE.min(2 * pause);
             time::sleep(pause).await;
             continue;
