--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -37,17 +37,17 @@
 use crate::callers::activity::TrackedConnection;
 use crate::callers::body::CallerBody;
 use crate::callers::body::Content;
-use crate::forward::Reply;
 use crate::forward;
+use crate::forward::Reply;
 use crate::gateway::Gateway;
 use crate::gateway::Phase;
 use crate::headers;
 use crate::platform::Platform;
-use crate::relay::TruncatedStream;
 use crate::relay;
+use crate::relay::TruncatedStream;
+use crate::request;
 use crate::request::ReadError;
 use crate::request::Request;
-use crate::request;
 
 /// Minimum buffer size that the HTTP library accepts.
 const MIN_HEADER_BUFFER_BYTES: usize = 8_192;
@@ -189,8 +189,9 @@
     request: &mut Request<P>,
 ) -> Result<(), Refusal> {
     // `forward` waits for a permit that becomes available within this time.
-    let bound =
-        gateway.all_unavailable_for(&request.service).filter(|after| *after > forward::MAX_PERMIT_WAIT);
+    let bound = gateway
+        .all_unavailable_for(&request.service)
+        .filter(|after| *after > forward::MAX_PERMIT_WAIT);
     if let Some(after) = bound {
         return Err(Refusal::not_run(Cause::NoBackendServer).retry_after(after));
     }
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -22,9 +22,9 @@
 use http_body_util::Full;
 use tokio::time;
 
+use crate::compression;
 use crate::connections::Connection;
 use crate::gateway::Gateway;
-use crate::packing;
 use crate::platform::EngineReport;
 use crate::platform::EngineRequest;
 use crate::platform::Platform;
@@ -70,7 +70,8 @@
         engine_request: &EngineRequest<'_>,
     ) -> EncodedRequest {
         let (method, uri, body) = gateway.platform.encode_engine_request(engine_request);
-        let packed = (body.len() >= packing::PACKED_FROM).then(|| packing::pack(&body));
+        let packed =
+            (body.len() >= compression::COMPRESS_FROM_BYTES).then(|| compression::compress(&body));
         EncodedRequest { method, uri, body, packed, since: None }
     }
 
@@ -185,7 +186,7 @@
         }
         if let Some(packed) = &encoded.packed {
             body = packed;
-            request = request.header(header::CONTENT_ENCODING, packing::ENCODING);
+            request = request.header(header::CONTENT_ENCODING, compression::ENCODING);
         }
     }
     if end == RemoteEnd::Relay {
@@ -272,7 +273,7 @@
 ) -> Option<CountsNews> {
     let encoded = EncodedRequest::new(gateway, &EngineRequest::Counts).since(known);
     let body = call_body(gateway, server, &encoded, Path::Sidecar).await?;
-    let body = packing::unpack(&body, sidecar::MOST_BYTES).ok()?;
+    let body = compression::decompress(&body, sidecar::MAX_BODY_BYTES).ok()?;
     ciborium::from_reader(body.as_ref()).ok()
 }
 
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -18,9 +18,9 @@
 use http_body_util::BodyExt;
 use http_body_util::Limited;
 
+use crate::exchange;
 use crate::exchange::Answer;
 use crate::exchange::AttemptGuard;
-use crate::exchange;
 use crate::gateway::Gateway;
 use crate::gateway::crashes::Progress;
 use crate::platform::Platform;
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -24,23 +24,23 @@
 use hooktrestle_clock::ProcessClock;
 use hooktrestle_core::clock::Clock;
 use hooktrestle_core::clock::Millis;
-use hooktrestle_core::direct::budget::RetryBudget;
 use hooktrestle_core::direct::budget;
+use hooktrestle_core::direct::budget::RetryBudget;
 use hooktrestle_core::direct::crashes::Config as CrashConfig;
 use hooktrestle_core::direct::crashes::Crashes;
 use hooktrestle_core::direct::crashes::Reporter;
+use hooktrestle_core::direct::members;
 use hooktrestle_core::direct::members::Member;
 use hooktrestle_core::direct::members::Members;
 use hooktrestle_core::direct::members::Readiness;
-use hooktrestle_core::direct::members;
-use hooktrestle_core::direct::outage::Outages;
 use hooktrestle_core::direct::outage;
-use hooktrestle_core::direct::overtaken::Heads;
+use hooktrestle_core::direct::outage::Outages;
 use hooktrestle_core::direct::overtaken;
+use hooktrestle_core::direct::overtaken::Heads;
 use hooktrestle_core::direct::permits::Permits;
+use hooktrestle_core::direct::pool;
 use hooktrestle_core::direct::pool::Pool;
 use hooktrestle_core::direct::pool::Server;
-use hooktrestle_core::direct::pool;
 use hooktrestle_core::direct::relays::Relays;
 use hooktrestle_core::direct::replica::Replica;
 use hooktrestle_core::direct::serving::RouteKind;
@@ -60,7 +60,7 @@
 use crate::gateway::crashes::CrashDetection;
 use crate::gateway::slow_servers::Reach;
 use crate::metrics::Metrics;
-use crate::permits::Givers;
+use crate::permits::PermitGranters;
 use crate::platform::Platform;
 use crate::platform::Table;
 
@@ -124,7 +124,7 @@
     pub crashes_changed: Notify,
     permits: RefCell<Permits>,
     /// The gateways that grant permits.
-    pub permit_granters: Givers,
+    pub permit_granters: PermitGranters,
     /// Notified when a reply to a request for permits was recorded.
     pub permit_reply_received: Notify,
     /// Wakes the task that delegates this gateway's share: a limit was advertised or has changed.
@@ -194,7 +194,7 @@
             crash_detection: RefCell::default(),
             crashes_changed: Notify::new(),
             permits: RefCell::new(Permits::new(clock.now())),
-            permit_granters: Givers::default(),
+            permit_granters: PermitGranters::default(),
             permit_reply_received: Notify::new(),
             limits_changed: Notify::new(),
             serving: RefCell::default(),
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -33,8 +33,8 @@
 use crate::connections::Connection;
 use crate::gateway::Gateway;
 use crate::gateway::slow_servers::Reach;
-use crate::permits::Wanted;
 use crate::permits;
+use crate::permits::PermitRequest;
 use crate::platform::Platform;
 use crate::platform::StoredCrashes;
 
@@ -146,7 +146,7 @@
         }
         let trial = Trial { gateway: self.clone(), fingerprint };
         // Without a reply this gateway can only limit its own trials to one at a time.
-        match permits::ask(self, Wanted::Trial(fingerprint)).await {
+        match permits::request_permits(self, PermitRequest::Trial(fingerprint)).await {
             Some(Grant { permits: 0, retry_in }) => Err((Cause::CrashSuspect, retry_in)),
             Some(_) | None => Ok(Some(trial)),
         }
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -19,7 +19,7 @@
 use crate::gateway::slow_servers::Reach;
 use crate::headers;
 use crate::permits;
-use crate::permits::Wanted;
+use crate::permits::PermitRequest;
 use crate::platform::Platform;
 
 /// Permission to send one request to a server.
@@ -99,8 +99,8 @@
         let Permission::Ask(wanted) = permission else { return self.permitted(permission) };
         let (server_incarnation, ramp_up_rate) =
             self.with_pool(|pool| (pool.incarnation(server), pool.ramp_up_rate(server, now)));
-        let wanted = Wanted::Requests(server_incarnation, wanted, ramp_up_rate);
-        let grant = permits::ask(self, wanted).await.unwrap_or_default();
+        let wanted = PermitRequest::Requests(server_incarnation, wanted, ramp_up_rate);
+        let grant = permits::request_permits(self, wanted).await.unwrap_or_default();
         let granted_at = self.now();
         let permission = self.with_pool(|pool| {
             pool.record_grant(server, grant, now, granted_at);
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -13,8 +13,8 @@
 //!
 //! Other tasks keep the state up to date:
 //!
-//! - `follow` follows the tables of the platform, and `peers` gossips them to other gateways.
-//! - `crash_keeper` stores crashes of servers on the platform, with the requests that ran there.
+//! - `table_sync` follows the tables of the platform, and `peers` gossips them to other gateways.
+//! - `crash_sync` stores crashes of servers on the platform, with the requests that ran there.
 //! - `permits` keeps all gateways together within the limits that servers advertise.
 //! - `stalled_groups` polls groups that are stalled, so that their servers are excluded.
 //! - `maps` moves experts between the ranks of groups as demand changes, through [`sidecar`], the
@@ -26,20 +26,19 @@
 mod accept;
 pub mod admission_queue;
 mod callers;
+mod compression;
 mod connections;
-mod crash_keeper;
+mod crash_sync;
 pub mod dial;
 mod endpoints;
 pub mod engine;
 mod event_log;
 mod exchange;
-mod follow;
 mod forward;
 mod gateway;
 mod headers;
 mod maps;
 mod metrics;
-mod packing;
 mod peers;
 mod permits;
 pub mod platform;
@@ -49,5 +48,6 @@
 pub mod settings;
 pub mod sidecar;
 mod stalled_groups;
+mod table_sync;
 
 pub use gateway::Gateway;
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -27,12 +27,12 @@
 use http::header;
 use http_body_util::BodyExt;
 use hyper::body::Frame;
-use tokio::time::Instant;
 use tokio::time;
+use tokio::time::Instant;
 
 use crate::admission_queue::AdmittedStream;
-use crate::exchange::Answer;
 use crate::exchange;
+use crate::exchange::Answer;
 use crate::forward;
 use crate::gateway::Gateway;
 use crate::gateway::crashes::Progress;
