--- a/crates/cli/tests/examples.rs
+++ b/crates/cli/tests/examples.rs
@@ -8,8 +8,8 @@
 use hooktrestle_embedded::Fleet;
 use hooktrestled::acceptor::Accepted;
 use hooktrestled::acceptor::Acceptor;
-use hooktrestled::config_keeper::read_head;
-use hooktrestled::config_keeper::read_snapshot;
+use hooktrestled::config_sync::read_head;
+use hooktrestled::config_sync::read_snapshot;
 
 fn tool(fleet: &Fleet, words: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hooktrestle"));
--- a/crates/embedded/src/fleet.rs
+++ b/crates/embedded/src/fleet.rs
@@ -19,7 +19,7 @@
 use hooktrestle_schema::RowCheck;
 use hooktrestle_schema::RowWrite;
 use hooktrestle_schema::Settings;
-use hooktrestled::config_keeper;
+use hooktrestled::config_sync;
 use hooktrestled::gateway::Gateway;
 use hooktrestled::settings;
 use hooktrestled::sidecar::Sidecar;
@@ -244,7 +244,7 @@
     pub async fn wait_in_force(&self, reached: impl Fn(&hooktrestle_core::config::Config) -> bool) {
         let gateways = self.gateways.values().map(Gateway::config);
         let sidecars = self.sidecars.values().map(Sidecar::config);
-        for mut watch in gateways.chain(sidecars).collect::<Vec<config_keeper::Watch>>() {
+        for mut watch in gateways.chain(sidecars).collect::<Vec<config_sync::Watch>>() {
             // An error means that the process has ended: it holds nothing in force.
             let _ =
                 watch.wait_for(|now| now.as_ref().is_some_and(|now| reached(&now.config))).await;
--- a/crates/hooktrestled/src/acceptor.rs
+++ b/crates/hooktrestled/src/acceptor.rs
@@ -28,10 +28,10 @@
 use tokio::time::sleep;
 use xtra::Address;
 
-use crate::config_keeper::ConfigKeeper;
-use crate::config_keeper::Look;
-use crate::config_keeper::read_head;
-use crate::config_keeper::read_snapshot;
+use crate::config_sync::ConfigSync;
+use crate::config_sync::Poll;
+use crate::config_sync::read_head;
+use crate::config_sync::read_snapshot;
 use crate::directory;
 use crate::poll::jittered;
 
@@ -48,12 +48,12 @@
 
 /// Gateways that look for edits as often as `poll` says; more of them look less often each, so that
 /// the table is asked no more often by a large fleet than by a small one.
-const GATEWAYS_AT_FULL_PACE: u32 = 8;
+const GATEWAYS_AT_FULL_POLL_RATE: u32 = 8;
 
 /// Looks for edits for ever.
 pub async fn run(
     platform: Platform,
-    keeper: Address<ConfigKeeper>,
+    sync_task: Address<ConfigSync>,
     directory: directory::Watch,
     poll: Duration,
 ) {
@@ -64,7 +64,7 @@
             Ok(Accepted::Raced) => continue,
             Ok(Accepted::Version(version)) => {
                 info!("configuration accepted", kv: { version });
-                if keeper.send(Look).await.is_err() {
+                if sync_task.send(Poll).await.is_err() {
                     return;
                 }
             }
@@ -72,8 +72,9 @@
                 warn!("cannot accept edits", kv: { error: = error.to_string().as_str() });
             }
         }
-        let gateways = u32::try_from(directory::gateways(&directory.borrow())).unwrap_or(u32::MAX);
-        sleep(jittered(poll * gateways.div_ceil(GATEWAYS_AT_FULL_PACE).max(1))).await;
+        let gateways =
+            u32::try_from(directory::live_gateway_count(&directory.borrow())).unwrap_or(u32::MAX);
+        sleep(jittered(poll * gateways.div_ceil(GATEWAYS_AT_FULL_POLL_RATE).max(1))).await;
     }
 }
 
@@ -208,8 +209,8 @@
         let row_version = edit.map_or(0, |edit| edit.version);
         let error = RowError { row_version, message: message.clone() };
         let value = serde_json::to_value(error).unwrap_or(Value::Null);
-        let stands = known.iter().any(|known| known.key == key && known.value == value);
-        if !stands {
+        let stored = known.iter().any(|known| known.key == key && known.value == value);
+        if !stored {
             writes.push(RowWrite { table: table(), key, value });
         }
     }
--- a/crates/hooktrestled/src/admin.rs
+++ b/crates/hooktrestled/src/admin.rs
@@ -21,7 +21,7 @@
 
 /// One figure.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Figure {
+pub(crate) struct Sample {
     /// Name without the product's prefix; ends with its unit.
     pub(crate) name: &'static str,
     /// What it says.
@@ -30,10 +30,10 @@
     pub(crate) value: i64,
 }
 
-impl Figure {
+impl Sample {
     /// The version in force; 0 before the first.
-    pub(crate) fn config_version(version: Option<u64>) -> Figure {
-        Figure {
+    pub(crate) fn config_version(version: Option<u64>) -> Sample {
+        Sample {
             name: "config_version",
             help: "Version of the configuration in force here",
             value: version.and_then(|version| version.try_into().ok()).unwrap_or(0),
@@ -47,7 +47,7 @@
     /// Whether it takes new work.
     pub(crate) is_ready: bool,
     /// Its figures.
-    pub(crate) figures: Vec<Figure>,
+    pub(crate) samples: Vec<Sample>,
 }
 
 /// A process that can be observed.
@@ -94,10 +94,10 @@
 
 fn render(observed: &Observed) -> String {
     let mut registry = Registry::with_prefix("hooktrestle");
-    for figure in &observed.figures {
+    for sample in &observed.samples {
         let gauge: Gauge = Gauge::default();
-        gauge.set(figure.value);
-        registry.register(figure.name, figure.help, gauge);
+        gauge.set(sample.value);
+        registry.register(sample.name, sample.help, gauge);
     }
     let mut text = String::new();
     // Writing to memory does not fail.
--- a/crates/hooktrestled/src/spread.rs
+++ b/crates/hooktrestled/src/config_exchange.rs
@@ -11,10 +11,10 @@
 use spdlog::warn;
 use xtra::Address;
 
-use crate::config_keeper;
-use crate::config_keeper::ConfigKeeper;
-use crate::config_keeper::InForce;
-use crate::config_keeper::Offered;
+use crate::config_sync;
+use crate::config_sync::ConfigSync;
+use crate::config_sync::InForce;
+use crate::config_sync::PeerSnapshot;
 
 /// Bytes of a snapshot in one frame.
 const PART_BYTES: usize = 64 * 1024;
@@ -24,46 +24,52 @@
 
 /// One link's side of it.
 #[derive(Debug)]
-pub(crate) struct Spread {
-    config: config_keeper::Watch,
-    keeper: Address<ConfigKeeper>,
+pub(crate) struct ConfigExchange {
+    config: config_sync::Watch,
+    sync_task: Address<ConfigSync>,
     sender: Sender,
-    asked_for: u64,
-    gathered: Gathered,
+    requested_version: u64,
+    partial: PartialSnapshot,
 }
 
 /// The parts of a snapshot so far.
 #[derive(Debug, Default)]
-struct Gathered {
+struct PartialSnapshot {
     version: u64,
     next_part: u32,
     bytes: Vec<u8>,
 }
 
-impl Spread {
+impl ConfigExchange {
     pub(crate) fn new(
-        config: config_keeper::Watch,
-        keeper: Address<ConfigKeeper>,
+        config: config_sync::Watch,
+        sync_task: Address<ConfigSync>,
         sender: Sender,
-    ) -> Spread {
-        Spread { config, keeper, sender, asked_for: 0, gathered: Gathered::default() }
+    ) -> ConfigExchange {
+        ConfigExchange {
+            config,
+            sync_task,
+            sender,
+            requested_version: 0,
+            partial: PartialSnapshot::default(),
+        }
     }
 
     /// The peer has this version: asks for it, once, if it is newer.
-    pub(crate) async fn heard(&mut self, version: u64) {
-        let have = config_keeper::version(&self.config);
+    pub(crate) async fn request_if_newer(&mut self, version: u64) {
+        let have = config_sync::version(&self.config);
         let Some(have_version) = have else { return };
-        if version <= have_version || version <= self.asked_for {
+        if version <= have_version || version <= self.requested_version {
             return;
         }
-        self.asked_for = version;
+        self.requested_version = version;
         let ask = Frame::ConfigAsk(ConfigAskFrame { have_version });
         // A link that is lost asks again once it is back.
         let _ = self.sender.send(&ask, &[]).await;
     }
 
     /// The peer asks for a newer version than it has.
-    pub(crate) async fn asked(&self, ask: &ConfigAskFrame) {
+    pub(crate) async fn send_snapshot(&self, ask: &ConfigAskFrame) {
         let Some(in_force) = self.in_force() else { return };
         let version = in_force.config.version;
         if version <= ask.have_version {
@@ -76,25 +82,25 @@
     }
 
     /// A part has arrived. A snapshot that is whole goes to the keeper.
-    pub(crate) async fn part(&mut self, part: &ConfigPartFrame, payload: &[u8]) {
+    pub(crate) async fn add_part(&mut self, part: &ConfigPartFrame, payload: &[u8]) {
         if part.part == 0 {
-            self.gathered = Gathered { version: part.version, ..Gathered::default() };
+            self.partial = PartialSnapshot { version: part.version, ..PartialSnapshot::default() };
         }
-        let gathered = &mut self.gathered;
-        let fits = gathered.bytes.len() + payload.len() <= SNAPSHOT_LIMIT_BYTES;
-        if part.version != gathered.version || part.part != gathered.next_part || !fits {
-            self.gathered = Gathered::default();
+        let partial = &mut self.partial;
+        let fits = partial.bytes.len() + payload.len() <= SNAPSHOT_LIMIT_BYTES;
+        if part.version != partial.version || part.part != partial.next_part || !fits {
+            self.partial = PartialSnapshot::default();
             return;
         }
-        gathered.bytes.extend_from_slice(payload);
-        gathered.next_part += 1;
-        if gathered.next_part < part.parts {
+        partial.bytes.extend_from_slice(payload);
+        partial.next_part += 1;
+        if partial.next_part < part.parts {
             return;
         }
-        let whole = std::mem::take(&mut self.gathered);
-        match serde_json::from_slice(&whole.bytes) {
+        let complete = std::mem::take(&mut self.partial);
+        match serde_json::from_slice(&complete.bytes) {
             // A keeper that has ended needs no news.
-            Ok(snapshot) => drop(self.keeper.send(Offered(snapshot)).await),
+            Ok(snapshot) => drop(self.sync_task.send(PeerSnapshot(snapshot)).await),
             Err(error) => {
                 warn!("a peer handed on a malformed configuration", kv: { error: = error.to_string().as_str() });
             }
--- a/crates/hooktrestled/src/config_keeper.rs
+++ b/crates/hooktrestled/src/config_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps a process at the newest accepted configuration.
 //!
 //! An actor looks at the head row now and then; peers that are ahead hand their snapshot on over
-//! the links (see [`crate::spread`]), so that an outage right after an acceptance does not keep it
+//! the links (see [`crate::config_exchange`]), so that an outage right after an acceptance does not keep it
 //! from the fleet. What is published only ever grows.
 //!
 //! A process that has just started takes its first configuration from the table only: peers that
@@ -52,28 +52,28 @@
 
 /// The actor.
 #[derive(Debug, xtra::Actor)]
-pub struct ConfigKeeper {
+pub struct ConfigSync {
     platform: Platform,
     published: watch::Sender<Option<InForce>>,
 }
 
 /// Look at the head row now.
 #[derive(Clone, Copy, Debug)]
-pub struct Look;
+pub struct Poll;
 
 /// A peer has handed on an accepted snapshot.
 #[derive(Clone, Debug)]
-pub struct Offered(pub Snapshot);
+pub struct PeerSnapshot(pub Snapshot);
 
 /// Starts the actor and its polling; it ends with the last address.
-pub fn start(platform: Platform, poll: Duration) -> (Address<ConfigKeeper>, Watch) {
+pub fn start(platform: Platform, poll: Duration) -> (Address<ConfigSync>, Watch) {
     let (published, watch) = watch::channel(None);
-    let keeper = ConfigKeeper { platform, published };
-    let address = xtra::spawn_tokio(keeper, Mailbox::unbounded());
+    let sync_task = ConfigSync { platform, published };
+    let address = xtra::spawn_tokio(sync_task, Mailbox::unbounded());
     let weak = address.downgrade();
     tokio::spawn(async move {
         while let Some(address) = weak.try_upgrade() {
-            if address.send(Look).await.is_err() {
+            if address.send(Poll).await.is_err() {
                 return;
             }
             drop(address);
@@ -109,12 +109,12 @@
     Ok(snapshot)
 }
 
-impl ConfigKeeper {
+impl ConfigSync {
     fn version(&self) -> Option<u64> {
         self.published.borrow().as_ref().map(|in_force| in_force.config.version)
     }
 
-    async fn look(&mut self) -> Result<()> {
+    async fn fetch_newest(&mut self) -> Result<()> {
         let Some((head, _)) = read_head(&self.platform).await? else { return Ok(()) };
         if self.version().is_some_and(|version| version >= head.version) {
             return Ok(());
@@ -139,20 +139,20 @@
     }
 }
 
-impl Handler<Look> for ConfigKeeper {
+impl Handler<Poll> for ConfigSync {
     type Return = ();
 
-    async fn handle(&mut self, _: Look, _: &mut Context<Self>) {
-        if let Err(error) = self.look().await {
+    async fn handle(&mut self, _: Poll, _: &mut Context<Self>) {
+        if let Err(error) = self.fetch_newest().await {
             warn!("cannot look for a new configuration", kv: { error: = error.to_string().as_str() });
         }
     }
 }
 
-impl Handler<Offered> for ConfigKeeper {
+impl Handler<PeerSnapshot> for ConfigSync {
     type Return = ();
 
-    async fn handle(&mut self, offered: Offered, _: &mut Context<Self>) {
+    async fn handle(&mut self, offered: PeerSnapshot, _: &mut Context<Self>) {
         if self.version().is_none_or(|version| version >= offered.0.version) {
             return;
         }
--- a/crates/hooktrestled/src/directory.rs
+++ b/crates/hooktrestled/src/directory.rs
@@ -20,7 +20,7 @@
 pub type Watch = watch::Receiver<Arc<BTreeMap<String, Instance>>>;
 
 /// How many live gateways the list names.
-pub(crate) fn gateways(list: &BTreeMap<String, Instance>) -> usize {
+pub(crate) fn live_gateway_count(list: &BTreeMap<String, Instance>) -> usize {
     let is_live = |instance: &&Instance| {
         instance.role == InstanceRole::Gateway && instance.state == InstanceState::Live
     };
--- a/crates/hooktrestled/src/gateway.rs
+++ b/crates/hooktrestled/src/gateway.rs
@@ -37,10 +37,10 @@
 
 use crate::acceptor;
 use crate::admin;
-use crate::admin::Figure;
 use crate::admin::Observe;
 use crate::admin::Observed;
-use crate::config_keeper;
+use crate::admin::Sample;
+use crate::config_sync;
 use crate::directory;
 use crate::drain;
 use crate::process::Process;
@@ -54,31 +54,31 @@
     pub(crate) data_centre: Arc<str>,
     pub(crate) keys: hooktrestle_link::auth::Keys,
     pub(crate) settings: Arc<GatewaySettings>,
-    pub(crate) config: config_keeper::Watch,
+    pub(crate) config: config_sync::Watch,
     pub(crate) directory: directory::Watch,
     pub(crate) router: Address<router::Router>,
-    pub(crate) numbers: Arc<RequestNumbers>,
-    pub(crate) budget: Arc<Mutex<RetryBudget>>,
+    pub(crate) request_numbers: Arc<RequestNumbers>,
+    pub(crate) retry_budget: Arc<Mutex<RetryBudget>>,
     pub(crate) limiter: Arc<Mutex<Limiter>>,
     pub(crate) clock: ProcessClock,
     pub(crate) traces: Traces,
-    pub(crate) open: watch::Sender<usize>,
+    pub(crate) in_flight: watch::Sender<usize>,
     pub(crate) leaving: watch::Sender<bool>,
 }
 
 impl Observe for Shared {
     async fn observe(&self) -> Observed {
-        let version = config_keeper::version(&self.config);
-        let open = *self.open.borrow();
-        let figures = vec![
-            Figure::config_version(version),
-            Figure {
+        let version = config_sync::version(&self.config);
+        let in_flight = *self.in_flight.borrow();
+        let samples = vec![
+            Sample::config_version(version),
+            Sample {
                 name: "open_requests",
                 help: "Requests in flight",
-                value: open.try_into().unwrap_or(i64::MAX),
+                value: in_flight.try_into().unwrap_or(i64::MAX),
             },
         ];
-        Observed { is_ready: version.is_some() && !*self.leaving.borrow(), figures }
+        Observed { is_ready: version.is_some() && !*self.leaving.borrow(), samples }
     }
 }
 
@@ -109,7 +109,7 @@
     /// The address cannot be bound, or a client cannot be set up.
     pub async fn start(settings: &Settings) -> Result<Gateway> {
         let process = Process::start(settings).await?;
-        let Process { platform, keeper, config, directory, identity, .. } = process;
+        let Process { platform, sync_task, config, directory, identity, .. } = process;
         let Process { listener, address, traces, clock, .. } = process;
         let poll = settings::millis(settings.platform.poll_ms);
         let context = links::Context {
@@ -118,8 +118,8 @@
             data_centre: settings.instance.data_centre.clone(),
             directory: directory.clone(),
             config: config.clone(),
-            keeper: keeper.clone(),
-            heartbeat: settings::millis(settings.links.heartbeat_ms),
+            sync_task: sync_task.clone(),
+            heartbeat_interval: settings::millis(settings.links.heartbeat_ms),
             clock,
         };
         let router = router::start(context);
@@ -131,16 +131,16 @@
             config,
             directory: directory.clone(),
             router,
-            numbers: Arc::default(),
-            budget: Arc::new(Mutex::new(RetryBudget::new(retry::Config::default()))),
+            request_numbers: Arc::default(),
+            retry_budget: Arc::new(Mutex::new(RetryBudget::new(retry::Config::default()))),
             limiter: Arc::default(),
             clock,
-            open: watch::Sender::new(0),
+            in_flight: watch::Sender::new(0),
             leaving: watch::Sender::new(false),
             traces,
         };
         let server = warp::serve(http::routes(shared.clone())).incoming(listener);
-        let accepting = acceptor::run(platform, keeper, directory, poll);
+        let accepting = acceptor::run(platform, sync_task, directory, poll);
         let (admin_address, admin) =
             admin::start(&settings.instance.admin_listen, shared.clone()).await?;
         let serving = tokio::spawn(server.run()).abort_handle();
@@ -151,7 +151,7 @@
     }
 
     /// The configuration in force here.
-    pub fn config(&self) -> config_keeper::Watch {
+    pub fn config(&self) -> config_sync::Watch {
         self.shared.config.clone()
     }
 
@@ -163,7 +163,7 @@
         self.shared.leaving.send_replace(true);
         let keep = settings::millis(self.shared.settings.keep_endpoints_ms).min(within);
         tokio::time::sleep(keep).await;
-        let cut_off = drain::until_idle(self.shared.open.subscribe(), within - keep).await;
+        let cut_off = drain::until_idle(self.shared.in_flight.subscribe(), within - keep).await;
         self.shared.traces.flush();
         cut_off
     }
--- a/crates/hooktrestled/src/gateway/body.rs
+++ b/crates/hooktrestled/src/gateway/body.rs
@@ -14,30 +14,30 @@
 use tokio::sync::Semaphore;
 
 /// Body bytes kept for another attempt; a request with more has one attempt only.
-const KEEP_BYTES: usize = 256 * 1024;
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// Body bytes sent ahead of the sidecar's credit.
-const FIRST_CREDIT_BYTES: usize = 64 * 1024;
+const INITIAL_CREDIT_BYTES: usize = 64 * 1024;
 
 /// Largest piece in one frame.
-const PIECE_BYTES: usize = 16 * 1024;
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
 /// A caller's body as it arrives. Boxed once a request, not once a piece.
-pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>> + Send>>;
+pub(crate) type Chunks = Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>> + Send>>;
 
 /// Why a caller's body is not whole.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum BodyError {
     /// The caller broke it off.
-    CutOff,
+    Truncated,
     /// It is larger than allowed.
     TooLarge,
 }
 
 struct Source {
-    rest: Pieces,
-    kept: Vec<Bytes>,
-    kept_bytes: usize,
+    remaining: Chunks,
+    buffered: Vec<Bytes>,
+    buffered_bytes: usize,
     read_bytes: u64,
     limit_bytes: u64,
     ended: bool,
@@ -58,11 +58,11 @@
 
 impl Body {
     /// A body that is still arriving, of at most `limit_bytes`.
-    pub(crate) fn new(rest: Pieces, limit_bytes: u64) -> Body {
+    pub(crate) fn new(remaining: Chunks, limit_bytes: u64) -> Body {
         let source = Source {
-            rest,
-            kept: Vec::new(),
-            kept_bytes: 0,
+            remaining,
+            buffered: Vec::new(),
+            buffered_bytes: 0,
             read_bytes: 0,
             limit_bytes,
             ended: false,
@@ -72,14 +72,14 @@
     }
 
     /// A body that is here whole.
-    pub(crate) fn whole(bytes: Bytes) -> Body {
+    pub(crate) fn complete(bytes: Bytes) -> Body {
         let limit_bytes = bytes.len() as u64;
         let one = futures_util::stream::iter([Ok(bytes)]);
         Body::new(Box::pin(one), limit_bytes)
     }
 
     /// Whether another attempt could send it all.
-    pub(crate) async fn can_repeat(&self) -> bool {
+    pub(crate) async fn can_resend(&self) -> bool {
         !self.source.lock().await.overflowed
     }
 
@@ -97,14 +97,14 @@
         let mut index = 0;
         let mut sequence = 0;
         loop {
-            let piece = self.piece(index).await?;
+            let chunk = self.chunk(index).await?;
             index += 1;
-            let last = piece.is_none();
-            let mut bytes = piece.unwrap_or_default();
+            let last = chunk.is_none();
+            let mut bytes = chunk.unwrap_or_default();
             loop {
-                let part = bytes.split_to(bytes.len().min(PIECE_BYTES));
+                let payload = bytes.split_to(bytes.len().min(MAX_CHUNK_BYTES));
                 let done = bytes.is_empty();
-                if !send(sender, id, sequence, &part, last && done, credit).await {
+                if !send(sender, id, sequence, &payload, last && done, credit).await {
                     return Ok(());
                 }
                 sequence += 1;
@@ -119,46 +119,46 @@
     }
 
     /// The piece at `index`, from what is kept or from the caller; `None` at the end.
-    async fn piece(&self, index: usize) -> Result<Option<Bytes>, BodyError> {
+    async fn chunk(&self, index: usize) -> Result<Option<Bytes>, BodyError> {
         let mut source = self.source.lock().await;
-        if !source.overflowed && index < source.kept.len() {
-            return Ok(Some(source.kept[index].clone()));
+        if !source.overflowed && index < source.buffered.len() {
+            return Ok(Some(source.buffered[index].clone()));
         }
         if source.ended {
             return Ok(None);
         }
-        match source.rest.next().await {
+        match source.remaining.next().await {
             None => {
                 source.ended = true;
                 Ok(None)
             }
             Some(Err(error)) => Err(error),
-            Some(Ok(bytes)) => source.take(bytes).map(Some),
+            Some(Ok(bytes)) => source.buffer(bytes).map(Some),
         }
     }
 }
 
 impl Source {
-    fn take(&mut self, bytes: Bytes) -> Result<Bytes, BodyError> {
+    fn buffer(&mut self, bytes: Bytes) -> Result<Bytes, BodyError> {
         self.read_bytes += bytes.len() as u64;
         if self.read_bytes > self.limit_bytes {
             return Err(BodyError::TooLarge);
         }
-        self.kept_bytes += bytes.len();
-        if self.kept_bytes > KEEP_BYTES {
+        self.buffered_bytes += bytes.len();
+        if self.buffered_bytes > MAX_BUFFERED_BYTES {
             self.overflowed = true;
-            self.kept = Vec::new();
+            self.buffered = Vec::new();
         }
         if !self.overflowed {
-            self.kept.push(bytes.clone());
+            self.buffered.push(bytes.clone());
         }
         Ok(bytes)
     }
 }
 
 /// Credit for the first pieces of an upload.
-pub(crate) fn first_credit() -> Arc<Semaphore> {
-    Arc::new(Semaphore::new(FIRST_CREDIT_BYTES))
+pub(crate) fn initial_credit() -> Arc<Semaphore> {
+    Arc::new(Semaphore::new(INITIAL_CREDIT_BYTES))
 }
 
 /// `false` when the link is lost; the request hears of that by itself.
@@ -170,8 +170,8 @@
     last: bool,
     credit: &Semaphore,
 ) -> bool {
-    let need = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
-    match credit.acquire_many(need).await {
+    let needed_bytes = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
+    match credit.acquire_many(needed_bytes).await {
         Ok(permit) => permit.forget(),
         Err(_) => return false,
     }
--- a/crates/hooktrestled/src/gateway/drive.rs
+++ b/crates/hooktrestled/src/gateway/drive.rs
@@ -53,10 +53,10 @@
 const CREDIT_BYTES: u64 = 256 * 1024;
 
 /// Pieces of an answer between the driver and the caller's connection.
-const OUT_PIECES: usize = 16;
+const BUFFERED_CHUNKS: usize = 16;
 
 /// When to come back if no backend server can be reached.
-const NOWHERE_RETRY_AFTER: Millis = Millis(1_000);
+const NO_SERVER_RETRY_AFTER: Millis = Millis(1_000);
 
 /// A request as the HTTP side hands it over.
 #[derive(Debug)]
@@ -93,7 +93,7 @@
 
 /// The way to the caller.
 #[derive(Debug)]
-enum Out {
+enum CallerChannel {
     Head(oneshot::Sender<Answer>),
     Body(mpsc::Sender<Result<Bytes, Refusal>>),
     Closed,
@@ -101,7 +101,7 @@
 
 /// The newest attempt, once it has been sent.
 #[derive(Debug)]
-struct Current {
+struct CurrentAttempt {
     server: Key<Server>,
     handle: Handle,
     events: mpsc::UnboundedReceiver<Event>,
@@ -117,43 +117,43 @@
     incoming: Incoming,
     attempts: Attempts,
     tried: Vec<Key<Server>>,
-    current: Option<Current>,
-    out: Out,
+    current: Option<CurrentAttempt>,
+    caller_channel: CallerChannel,
     deadline: Millis,
 }
 
 /// What happened while waiting.
 #[allow(clippy::large_enum_variant, reason = "moved once; a box would cost an allocation")]
-enum Happened {
+enum Wakeup {
     Event(Event),
     Deadline,
     BodyFailed(BodyError),
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Counts a request as open while it lives: at the gateway, and for its account.
-struct OpenGuard {
+struct InFlightGuard {
     shared: Shared,
     account: u64,
 }
 
-impl OpenGuard {
+impl InFlightGuard {
     /// Admits a request within its account's limits.
-    fn admit(shared: &Shared, incoming: &Incoming) -> Result<OpenGuard, Refusal> {
-        let live = directory::gateways(&shared.directory.borrow());
+    fn admit(shared: &Shared, incoming: &Incoming) -> Result<InFlightGuard, Refusal> {
+        let live = directory::live_gateway_count(&shared.directory.borrow());
         let gateways = live.min(subset::GATEWAYS_PER_SERVICE);
         let account = hash::of(&incoming.account);
         let (now, cost) = (shared.clock.now(), incoming.cost_tokens);
         let mut limiter = shared.limiter.lock().unwrap_or_else(PoisonError::into_inner);
         limiter.admit(now, account, &incoming.limits, gateways, cost)?;
-        shared.open.send_modify(|count| *count += 1);
-        Ok(OpenGuard { shared: shared.clone(), account })
+        shared.in_flight.send_modify(|count| *count += 1);
+        Ok(InFlightGuard { shared: shared.clone(), account })
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.shared.open.send_modify(|count| *count -= 1);
+        self.shared.in_flight.send_modify(|count| *count -= 1);
         let now = self.shared.clock.now();
         let mut limiter = self.shared.limiter.lock().unwrap_or_else(PoisonError::into_inner);
         limiter.release(now, self.account);
@@ -169,10 +169,10 @@
     shared: Shared,
     incoming: Incoming,
 ) -> Result<oneshot::Receiver<Answer>, Refusal> {
-    let guard = OpenGuard::admit(&shared, &incoming)?;
+    let guard = InFlightGuard::admit(&shared, &incoming)?;
     let (head, answer) = oneshot::channel();
     let config = attempt::Config {
-        number: shared.numbers.next(),
+        number: shared.request_numbers.next(),
         retry_policy: incoming.retry_policy,
         max_attempts: shared.settings.attempts,
     };
@@ -181,7 +181,7 @@
         attempts: Attempts::new(config),
         tried: Vec::new(),
         current: None,
-        out: Out::Head(head),
+        caller_channel: CallerChannel::Head(head),
         shared,
         incoming,
     };
@@ -194,7 +194,7 @@
 
 impl Driver {
     async fn drive(mut self) {
-        with_budget(&self.shared, |budget| budget.earn());
+        with_retry_budget(&self.shared, |retry_budget| retry_budget.earn());
         let mut next = Next::Send(self.attempts.id());
         loop {
             next = match next {
@@ -214,17 +214,17 @@
     /// Sends the newest attempt to a backend server that has not been tried.
     async fn send(&mut self, id: RequestId) -> Next {
         self.release().await;
-        if id.attempt > 0 && !self.incoming.body.can_repeat().await {
+        if id.attempt > 0 && !self.incoming.body.can_resend().await {
             return self.attempts.not_routed(Refusal::not_run(Cause::BackendRefused));
         }
         let Some(choice) = self.choose().await else {
-            return self.attempts.not_routed(self.nowhere());
+            return self.attempts.not_routed(self.unroutable());
         };
         let server = choice.server;
         self.tried.push(server);
         let Some(events) = choice.handle.register(id.number) else {
-            self.give_back(server).await;
-            return self.attempts.not_routed(self.nowhere());
+            self.release_server(server).await;
+            return self.attempts.not_routed(self.unroutable());
         };
         let ticket = self.ticket(&choice);
         let frame = self.frame(id, ticket.clone());
@@ -232,11 +232,11 @@
         // If the link is lost meanwhile, the events say so.
         let _ = handle.sender.send(&Frame::Request(frame), &[]).await;
         self.attempts.sent();
-        let credit = body::first_credit();
+        let credit = body::initial_credit();
         let (failed, body_failed) = mpsc::channel(1);
         let upload = self.upload(id, &handle, &credit, failed);
         self.current =
-            Some(Current { server, handle, events, credit, ticket, upload, body_failed });
+            Some(CurrentAttempt { server, handle, events, credit, ticket, upload, body_failed });
         Next::Ignore
     }
 
@@ -252,8 +252,8 @@
 
     /// The refusal when nothing can be chosen. What a caller's own ticket did earlier is not known
     /// here.
-    fn nowhere(&self) -> Refusal {
-        let refusal = attempt::no_backend_server(NOWHERE_RETRY_AFTER);
+    fn unroutable(&self) -> Refusal {
+        let refusal = attempt::no_backend_server(NO_SERVER_RETRY_AFTER);
         match self.incoming.retry_policy {
             RetryPolicy::Never => Refusal { verdict: Verdict::MayHaveRun, ..refusal },
             RetryPolicy::Unrestricted | RetryPolicy::WithNewTicket => refusal,
@@ -266,7 +266,7 @@
             RetryPolicy::Never => self.incoming.ticket.clone(),
             RetryPolicy::WithNewTicket => {
                 let handle = &choice.handle;
-                Some(tickets::mint(&handle.sidecar, handle.incarnation, choice.sidecar_now))
+                Some(tickets::new_ticket(&handle.sidecar, handle.incarnation, choice.sidecar_now))
             }
         }
     }
@@ -311,41 +311,43 @@
 
     /// Waits for one thing to happen; `None` if the caller has gone.
     async fn wait(&mut self) -> Option<Next> {
-        let happened = self.happen().await;
-        match happened {
-            Happened::CallerGone => None,
-            Happened::Deadline => Some(self.attempts.deadline()),
-            Happened::BodyFailed(error) => Some(Next::Finish(body_refusal(error))),
-            Happened::Event(Event::Lost) => {
+        let wakeup = self.next_wakeup().await;
+        match wakeup {
+            Wakeup::CallerDisconnected => None,
+            Wakeup::Deadline => Some(self.attempts.deadline()),
+            Wakeup::BodyFailed(error) => Some(Next::Finish(body_refusal(error))),
+            Wakeup::Event(Event::Lost) => {
                 let id = self.attempts.id();
-                Some(with_budget(&self.shared, |budget| self.attempts.link_lost(id, budget)))
+                Some(with_retry_budget(&self.shared, |retry_budget| {
+                    self.attempts.link_lost(id, retry_budget)
+                }))
             }
-            Happened::Event(Event::Frame(frame, payload)) => self.frame_came(frame, payload).await,
+            Wakeup::Event(Event::Frame(frame, payload)) => self.handle_frame(frame, payload).await,
         }
     }
 
-    async fn happen(&mut self) -> Happened {
+    async fn next_wakeup(&mut self) -> Wakeup {
         let Some(current) = &mut self.current else {
             debug_assert!(false, "only a sent attempt is waited for");
-            return Happened::Deadline;
+            return Wakeup::Deadline;
         };
-        let gone = async {
-            match &mut self.out {
-                Out::Head(head) => head.closed().await,
-                Out::Body(body) => body.closed().await,
-                Out::Closed => {}
+        let disconnected = async {
+            match &mut self.caller_channel {
+                CallerChannel::Head(head) => head.closed().await,
+                CallerChannel::Body(body) => body.closed().await,
+                CallerChannel::Closed => {}
             }
         };
         tokio::select! {
             biased;
-            event = current.events.recv() => Happened::Event(event.unwrap_or(Event::Lost)),
-            () = gone => Happened::CallerGone,
-            Some(error) = current.body_failed.recv() => Happened::BodyFailed(error),
-            () = self.shared.clock.sleep_until(self.deadline) => Happened::Deadline,
+            event = current.events.recv() => Wakeup::Event(event.unwrap_or(Event::Lost)),
+            () = disconnected => Wakeup::CallerDisconnected,
+            Some(error) = current.body_failed.recv() => Wakeup::BodyFailed(error),
+            () = self.shared.clock.sleep_until(self.deadline) => Wakeup::Deadline,
         }
     }
 
-    async fn frame_came(&mut self, frame: Frame, payload: Bytes) -> Option<Next> {
+    async fn handle_frame(&mut self, frame: Frame, payload: Bytes) -> Option<Next> {
         match frame {
             Frame::Head(head) => {
                 let next = self.attempts.head(RequestId::from(&head.id));
@@ -364,8 +366,8 @@
             Frame::Refused(refused) => {
                 let id = RequestId::from(&refused.id);
                 let (refusal, spent) = (refusal(&refused), refused.spent);
-                Some(with_budget(&self.shared, |budget| {
-                    self.attempts.refused(id, refusal, spent, budget)
+                Some(with_retry_budget(&self.shared, |retry_budget| {
+                    self.attempts.refused(id, refusal, spent, retry_budget)
                 }))
             }
             Frame::Credit(credit) => {
@@ -380,15 +382,17 @@
         if let Some(current) = &self.current
             && RequestId::from(&credit.id) == self.attempts.id()
         {
-            let room = Semaphore::MAX_PERMITS - current.credit.available_permits();
+            let max_additional = Semaphore::MAX_PERMITS - current.credit.available_permits();
             let more = usize::try_from(credit.more_bytes).unwrap_or(usize::MAX);
-            current.credit.add_permits(more.min(room / 2));
+            current.credit.add_permits(more.min(max_additional / 2));
         }
     }
 
     fn forward_head(&mut self, status: u16, headers: Vec<Header>) -> Option<()> {
-        let (sender, body) = mpsc::channel(OUT_PIECES);
-        let Out::Head(head) = std::mem::replace(&mut self.out, Out::Body(sender)) else {
+        let (sender, body) = mpsc::channel(BUFFERED_CHUNKS);
+        let CallerChannel::Head(head) =
+            std::mem::replace(&mut self.caller_channel, CallerChannel::Body(sender))
+        else {
             debug_assert!(false, "a head is forwarded once");
             return None;
         };
@@ -400,7 +404,7 @@
         if payload.is_empty() {
             return Some(next);
         }
-        let Out::Body(body) = &self.out else { return None };
+        let CallerChannel::Body(body) = &self.caller_channel else { return None };
         let more_bytes = payload.len() as u64;
         tokio::select! {
             sent = body.send(Ok(payload)) => sent.ok()?,
@@ -419,12 +423,14 @@
         let clock = self.shared.clock;
         let within = Millis(self.shared.settings.settle_ms);
         let until = self.deadline.min(clock.now() + within);
-        let asked = clock.timeout_at(until, self.ask(id)).await;
-        let verdict = asked.ok().flatten();
-        with_budget(&self.shared, |budget| self.attempts.settled(id, verdict, budget))
+        let query = clock.timeout_at(until, self.query_verdict(id)).await;
+        let verdict = query.ok().flatten();
+        with_retry_budget(&self.shared, |retry_budget| {
+            self.attempts.settled(id, verdict, retry_budget)
+        })
     }
 
-    async fn ask(&mut self, id: RequestId) -> Option<Verdict> {
+    async fn query_verdict(&mut self, id: RequestId) -> Option<Verdict> {
         let current = self.current.as_ref()?;
         let lost_epoch = current.handle.epoch;
         let incarnation = current.handle.incarnation;
@@ -442,7 +448,7 @@
         loop {
             match events.recv().await? {
                 Event::Frame(Frame::Settled(settled), _) if RequestId::from(&settled.id) == id => {
-                    handle.forget(id.number);
+                    handle.deregister(id.number);
                     return Some(settled.verdict);
                 }
                 Event::Frame(..) => {}
@@ -453,17 +459,17 @@
 
     /// Gives the caller the final answer, and stops what may still run.
     async fn finish(&mut self, refusal: Refusal) {
-        self.incoming.hop.note("hooktrestle.verdict", refusal.verdict.to_string());
-        self.incoming.hop.note("hooktrestle.cause", refusal.cause.to_string());
-        match std::mem::replace(&mut self.out, Out::Closed) {
-            Out::Head(head) => {
+        self.incoming.hop.add_attribute("hooktrestle.verdict", refusal.verdict.to_string());
+        self.incoming.hop.add_attribute("hooktrestle.cause", refusal.cause.to_string());
+        match std::mem::replace(&mut self.caller_channel, CallerChannel::Closed) {
+            CallerChannel::Head(head) => {
                 // A caller that has gone needs no answer.
                 let _ = head.send(Err(refusal));
             }
-            Out::Body(body) => {
+            CallerChannel::Body(body) => {
                 let _ = tokio::time::timeout(Duration::from_secs(1), body.send(Err(refusal))).await;
             }
-            Out::Closed => {}
+            CallerChannel::Closed => {}
         }
         if refusal.verdict == Verdict::NotRun {
             self.acknowledge().await;
@@ -473,14 +479,14 @@
     }
 
     async fn cancel(&mut self) {
-        self.tell(Frame::Cancel(IdFrame { id: self.attempts.id().into() })).await;
+        self.send_frame(Frame::Cancel(IdFrame { id: self.attempts.id().into() })).await;
     }
 
     async fn acknowledge(&mut self) {
-        self.tell(Frame::Ack(IdFrame { id: self.attempts.id().into() })).await;
+        self.send_frame(Frame::Ack(IdFrame { id: self.attempts.id().into() })).await;
     }
 
-    async fn tell(&mut self, frame: Frame) {
+    async fn send_frame(&mut self, frame: Frame) {
         if let Some(current) = &self.current {
             // If the link is lost, the sidecar knows that nobody waits.
             let _ = current.handle.sender.send(&frame, &[]).await;
@@ -491,19 +497,19 @@
     async fn release(&mut self) {
         if let Some(current) = self.current.take() {
             current.upload.abort();
-            current.handle.forget(self.attempts.id().number);
-            self.give_back(current.server).await;
+            current.handle.deregister(self.attempts.id().number);
+            self.release_server(current.server).await;
         }
     }
 
-    async fn give_back(&self, server: Key<Server>) {
+    async fn release_server(&self, server: Key<Server>) {
         // A router that has ended counts nothing any more.
         let _ = self.shared.router.send(Release(server)).await;
     }
 }
 
-fn with_budget<T>(shared: &Shared, apply: impl FnOnce(&mut RetryBudget) -> T) -> T {
-    apply(&mut shared.budget.lock().unwrap_or_else(PoisonError::into_inner))
+fn with_retry_budget<T>(shared: &Shared, apply: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    apply(&mut shared.retry_budget.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 fn refusal(frame: &RefusedFrame) -> Refusal {
@@ -517,7 +523,7 @@
 /// The body is fed to the backend server as it comes, so the request may have run on a part of it.
 fn body_refusal(error: BodyError) -> Refusal {
     match error {
-        BodyError::CutOff => Refusal::may_have_run(Cause::Cancelled),
+        BodyError::Truncated => Refusal::may_have_run(Cause::Cancelled),
         BodyError::TooLarge => Refusal::may_have_run(Cause::TooLarge),
     }
 }
--- a/crates/hooktrestled/src/gateway/endpoints.rs
+++ b/crates/hooktrestled/src/gateway/endpoints.rs
@@ -9,7 +9,7 @@
 use hooktrestle_schema::InstanceRole;
 use hooktrestle_schema::InstanceState;
 
-use crate::config_keeper::InForce;
+use crate::config_sync::InForce;
 use crate::gateway::Shared;
 
 /// The gateways that callers of a service are given: some of the live ones, always the same, so that
--- a/crates/hooktrestled/src/gateway/http.rs
+++ b/crates/hooktrestled/src/gateway/http.rs
@@ -36,8 +36,8 @@
 use warp::Reply;
 use warp::reply::Response;
 
-use crate::config_keeper;
-use crate::config_keeper::InForce;
+use crate::config_sync;
+use crate::config_sync::InForce;
 use crate::gateway::Shared;
 use crate::gateway::body::Body;
 use crate::gateway::body::BodyError;
@@ -61,7 +61,7 @@
 const PLAIN_COST_TOKENS: u32 = 1;
 
 /// Highest priority that a caller can ask for.
-const MOST_PRIORITY: u8 = 9;
+const MAX_PRIORITY: u8 = 9;
 
 /// Where plain services are called: `/services/NAME/PATH`.
 const SERVICES_PATH: &str = "/services/";
@@ -80,7 +80,7 @@
 }
 
 impl Problem {
-    fn bad(message: impl Into<String>) -> Problem {
+    fn bad_request(message: impl Into<String>) -> Problem {
         Problem { refusal: Refusal::not_run(Cause::BadRequest), message: Some(message.into()) }
     }
 }
@@ -126,7 +126,7 @@
         ("POST", "/v1/tickets") => ticket(&shared, &call).await,
         ("POST", "/v1/chat/completions") => chat(shared, call, body).await,
         (_, path) if path.starts_with(SERVICES_PATH) => plain(shared, call, body).await,
-        _ => Err(Problem::bad(format!(
+        _ => Err(Problem::bad_request(format!(
             "nothing is at {} {}; see /v1/endpoints, /v1/tickets, /v1/chat/completions and \
              /services/NAME/PATH",
             call.method, call.path
@@ -137,13 +137,13 @@
 
 /// What operators' tools ask; it names no account and no request.
 fn status(shared: &Shared) -> Response {
-    let version = config_keeper::version(&shared.config);
+    let version = config_sync::version(&shared.config);
     let answer = StatusAnswer {
         instance: shared.identity.instance.clone(),
         data_centre: shared.data_centre.to_string(),
         config_version: version.unwrap_or(0),
         leaving: *shared.leaving.borrow(),
-        open_requests: *shared.open.borrow() as u64,
+        open_requests: *shared.in_flight.borrow() as u64,
     };
     warp::reply::json(&answer).into_response()
 }
@@ -165,14 +165,14 @@
         return Err(unknown_service(&in_force, &service));
     }
     let choose = Choose { service: service.as_str().into(), tried: Vec::new() };
-    let nowhere = || Problem::from(Refusal::not_run(Cause::NoBackendServer));
-    let choice = shared.router.send(choose).await.ok().flatten().ok_or_else(nowhere)?;
+    let unroutable = || Problem::from(Refusal::not_run(Cause::NoBackendServer));
+    let choice = shared.router.send(choose).await.ok().flatten().ok_or_else(unroutable)?;
     // A router that has ended counts nothing any more.
     let _ = shared.router.send(Release(choice.server)).await;
     let handle = &choice.handle;
-    let ticket = tickets::mint(&handle.sidecar, handle.incarnation, choice.sidecar_now);
+    let ticket = tickets::new_ticket(&handle.sidecar, handle.incarnation, choice.sidecar_now);
     let name = &in_force.config.accounts[account].name;
-    let key = tickets::seal(&shared.keys, name, &service, &ticket);
+    let key = tickets::encode_key(&shared.keys, name, &service, &ticket);
     Ok(warp::reply::json(&json!({ "request_key": key })).into_response())
 }
 
@@ -183,11 +183,12 @@
 {
     let in_force = in_force(&shared)?;
     let account = account(&in_force, &call.headers)?;
-    let bytes = gather(body, shared.settings.body_limit_bytes).await?;
+    let bytes = read_body(body, shared.settings.body_limit_bytes).await?;
     let value: Value = serde_json::from_slice(&bytes)
-        .map_err(|error| Problem::bad(format!("the body is not JSON: {error}")))?;
+        .map_err(|error| Problem::bad_request(format!("the body is not JSON: {error}")))?;
     let model = value["model"].as_str();
-    let model = model.ok_or_else(|| Problem::bad("`model` must name a service"))?.to_owned();
+    let model =
+        model.ok_or_else(|| Problem::bad_request("`model` must name a service"))?.to_owned();
     let answer_tokens = value["max_tokens"].as_u64().and_then(|tokens| u32::try_from(tokens).ok());
     let prompt_tokens = u32::try_from(bytes.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
     let cost_tokens = prompt_tokens.saturating_add(answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS));
@@ -195,7 +196,7 @@
     // The body is JSON, whatever the caller calls it; engines are less patient.
     call.headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let request = Request { service: model, kind: ServiceKind::Model, cost_tokens };
-    let incoming = incoming(&shared, &in_force, account, &call, request, Body::whole(bytes))?;
+    let incoming = incoming(&shared, &in_force, account, &call, request, Body::complete(bytes))?;
     answer(shared, incoming).await
 }
 
@@ -215,7 +216,7 @@
     };
     let call = Call { path, ..call };
     let limit = shared.settings.body_limit_bytes;
-    let body = Body::new(Box::pin(pieces(body)), limit);
+    let body = Body::new(Box::pin(chunks(body)), limit);
     let request = Request { service, kind: ServiceKind::Plain, cost_tokens: PLAIN_COST_TOKENS };
     let incoming = incoming(&shared, &in_force, account, &call, request, body)?;
     answer(shared, incoming).await
@@ -244,7 +245,7 @@
     let row = &config.services[service].row;
     let account = &config.accounts[account];
     let deadline_ms = number(&call.headers, headers::DEADLINE, 1, u64::MAX)?;
-    let priority = number(&call.headers, headers::PRIORITY, 0, u64::from(MOST_PRIORITY))?;
+    let priority = number(&call.headers, headers::PRIORITY, 0, u64::from(MAX_PRIORITY))?;
     let (retry_policy, ticket) =
         retry_policy(shared, &account.name, &request.service, &call.headers)?;
     Ok(Incoming {
@@ -254,7 +255,7 @@
         limits: account.row.clone(),
         method: call.method.as_str().to_owned(),
         path: call.path.clone(),
-        headers: passed_on(&call.headers),
+        headers: forwarded_headers(&call.headers),
         deadline: Duration::from_millis(deadline_ms.unwrap_or(row.deadline_ms)),
         priority: priority.and_then(|number| u8::try_from(number).ok()).unwrap_or(0),
         cost_tokens: request.cost_tokens,
@@ -279,25 +280,29 @@
     service: &str,
     headers: &HeaderMap,
 ) -> Result<(RetryPolicy, Option<Ticket>), Problem> {
-    let once = match text(headers, headers::NOT_REPEATABLE) {
+    let not_repeatable = match text(headers, headers::NOT_REPEATABLE) {
         None | Some("false") => false,
         Some("true") => true,
         Some(other) => {
             let name = headers::NOT_REPEATABLE;
-            return Err(Problem::bad(format!("{name}: `{other}` given; must be true or false")));
+            return Err(Problem::bad_request(format!(
+                "{name}: `{other}` given; must be true or false"
+            )));
         }
     };
     let key = text(headers, headers::REQUEST_KEY);
-    match (once, key) {
+    match (not_repeatable, key) {
         (false, _) => Ok((RetryPolicy::Unrestricted, None)),
         (true, None) => Ok((RetryPolicy::WithNewTicket, None)),
         (true, Some(key)) => {
-            let ticket = tickets::open(&shared.keys, account, service, key);
-            let bad = || {
+            let ticket = tickets::decode_key(&shared.keys, account, service, key);
+            let bad_request = || {
                 let name = headers::REQUEST_KEY;
-                Problem::bad(format!("{name}: get one for this service from POST /v1/tickets"))
+                Problem::bad_request(format!(
+                    "{name}: get one for this service from POST /v1/tickets"
+                ))
             };
-            Ok((RetryPolicy::Never, Some(ticket.ok_or_else(bad)?)))
+            Ok((RetryPolicy::Never, Some(ticket.ok_or_else(bad_request)?)))
         }
     }
 }
@@ -314,11 +319,11 @@
     let is_stream = head.headers.iter().any(|header| {
         header.name == "content-type" && header.value.starts_with("text/event-stream")
     });
-    let pieces = ReceiverStream::new(head.body).flat_map(move |piece| match piece {
+    let chunks = ReceiverStream::new(head.body).flat_map(move |chunk| match chunk {
         Ok(bytes) => stream::once(std::future::ready(Ok(bytes))).left_stream(),
-        Err(refusal) => not_whole(refusal, is_stream).right_stream(),
+        Err(refusal) => truncated_tail(refusal, is_stream).right_stream(),
     });
-    let mut response = warp::reply::stream(pieces).into_response();
+    let mut response = warp::reply::stream(chunks).into_response();
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for header in head.headers {
         let name = ::http::HeaderName::from_bytes(header.name.as_bytes());
@@ -332,7 +337,7 @@
 
 /// The end of an answer that is not whole: in a stream of events an `error` event says why; in any
 /// case the connection is broken off, so that nobody takes the answer for a whole one.
-fn not_whole(
+fn truncated_tail(
     refusal: Refusal,
     is_stream: bool,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync + 'static {
@@ -355,16 +360,16 @@
     let mut response = warp::reply::json(&body).into_response();
     *response.status_mut() =
         StatusCode::from_u16(refusal.status()).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut put = |name: &'static str, value: String| {
+    let mut set_header = |name: &'static str, value: String| {
         if let Ok(value) = value.parse() {
             response.headers_mut().insert(name, value);
         }
     };
-    put(headers::VERDICT, body.verdict.to_string());
-    put(headers::CAUSE, body.cause.to_string());
+    set_header(headers::VERDICT, body.verdict.to_string());
+    set_header(headers::CAUSE, body.cause.to_string());
     if let Some(span) = body.retry_after_ms {
-        put(headers::RETRY_AFTER, span.to_string());
-        put("retry-after", span.div_ceil(1_000).to_string());
+        set_header(headers::RETRY_AFTER, span.to_string());
+        set_header("retry-after", span.div_ceil(1_000).to_string());
     }
     response
 }
@@ -400,29 +405,30 @@
     let pairs: BTreeMap<&str, &str> =
         query.split('&').filter_map(|pair| pair.split_once('=')).collect();
     let service = pairs.get("service").map(|name| (*name).to_owned());
-    service.ok_or_else(|| Problem::bad("add ?service=NAME"))
+    service.ok_or_else(|| Problem::bad_request("add ?service=NAME"))
 }
 
 fn number(
     headers: &HeaderMap,
     name: &'static str,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<Option<u64>, Problem> {
     let Some(text) = text(headers, name) else { return Ok(None) };
-    let number = text.parse().ok().filter(|number| (least..=most).contains(number));
-    let bad = || Problem::bad(format!("{name}: `{text}` given; must be from {least} to {most}"));
-    number.map(Some).ok_or_else(bad)
+    let number = text.parse().ok().filter(|number| (min..=max).contains(number));
+    let bad_request =
+        || Problem::bad_request(format!("{name}: `{text}` given; must be from {min} to {max}"));
+    number.map(Some).ok_or_else(bad_request)
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn passed_on(headers: &HeaderMap) -> Vec<Header> {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
-        .filter(|(name, _)| headers::is_passed_on(name))
+        .filter(|(name, _)| headers::is_forwarded(name))
         .filter_map(|(name, value)| {
             let value = value.to_str().ok()?.to_owned();
             Some(Header { name: name.as_str().to_owned(), value })
@@ -430,31 +436,31 @@
         .collect()
 }
 
-fn pieces<S, B>(body: S) -> impl Stream<Item = Result<Bytes, BodyError>>
+fn chunks<S, B>(body: S) -> impl Stream<Item = Result<Bytes, BodyError>>
 where
     S: Stream<Item = Result<B, warp::Error>>,
     B: Buf,
 {
-    body.map(|piece| match piece {
+    body.map(|chunk| match chunk {
         Ok(mut buffer) => Ok(buffer.copy_to_bytes(buffer.remaining())),
-        Err(_) => Err(BodyError::CutOff),
+        Err(_) => Err(BodyError::Truncated),
     })
 }
 
-async fn gather<S, B>(body: S, limit_bytes: u64) -> Result<Bytes, Problem>
+async fn read_body<S, B>(body: S, limit_bytes: u64) -> Result<Bytes, Problem>
 where
     S: Stream<Item = Result<B, warp::Error>>,
     B: Buf,
 {
-    let mut pieces = std::pin::pin!(pieces(body));
-    let mut whole = Vec::new();
-    let cut_off = |_| Problem::bad("the body was cut off");
-    while let Some(piece) = pieces.try_next().await.map_err(cut_off)? {
-        whole.extend_from_slice(&piece);
-        if whole.len() as u64 > limit_bytes {
+    let mut chunks = std::pin::pin!(chunks(body));
+    let mut complete = Vec::new();
+    let truncated = |_| Problem::bad_request("the body was cut off");
+    while let Some(chunk) = chunks.try_next().await.map_err(truncated)? {
+        complete.extend_from_slice(&chunk);
+        if complete.len() as u64 > limit_bytes {
             let message = Some(format!("the body is over {limit_bytes} bytes"));
             return Err(Problem { refusal: Refusal::not_run(Cause::TooLarge), message });
         }
     }
-    Ok(whole.into())
+    Ok(complete.into())
 }
--- a/crates/hooktrestled/src/gateway/links.rs
+++ b/crates/hooktrestled/src/gateway/links.rs
@@ -21,22 +21,22 @@
 use tokio::sync::mpsc;
 use xtra::WeakAddress;
 
-use crate::config_keeper;
-use crate::config_keeper::ConfigKeeper;
+use crate::config_exchange::ConfigExchange;
+use crate::config_sync;
+use crate::config_sync::ConfigSync;
 use crate::directory;
-use crate::gateway::router::Down;
+use crate::gateway::router::LinkDown;
+use crate::gateway::router::LinkUp;
 use crate::gateway::router::Load;
 use crate::gateway::router::Router;
 use crate::gateway::router::Server;
-use crate::gateway::router::Up;
 use crate::poll::jittered;
-use crate::spread::Spread;
 
-/// First wait before a lost link is dialled again; it doubles up to [`LONGEST_BACKOFF`].
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// First wait before a lost link is dialled again; it doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Longest such wait.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// What every link needs.
 #[derive(Clone, Debug)]
@@ -45,9 +45,9 @@
     pub(crate) identity: Identity,
     pub(crate) data_centre: String,
     pub(crate) directory: directory::Watch,
-    pub(crate) config: config_keeper::Watch,
-    pub(crate) keeper: xtra::Address<ConfigKeeper>,
-    pub(crate) heartbeat: Duration,
+    pub(crate) config: config_sync::Watch,
+    pub(crate) sync_task: xtra::Address<ConfigSync>,
+    pub(crate) heartbeat_interval: Duration,
     pub(crate) clock: ProcessClock,
 }
 
@@ -61,7 +61,7 @@
     Lost,
 }
 
-type Waiting = Arc<Mutex<Option<HashMap<u64, mpsc::UnboundedSender<Event>>>>>;
+type Pending = Arc<Mutex<Option<HashMap<u64, mpsc::UnboundedSender<Event>>>>>;
 
 /// An open link, as requests use it; clones share it.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
     /// Grows with each link to this sidecar.
     pub(crate) epoch: u64,
     /// Requests that wait for frames; `None` once the link is lost.
-    waiting: Waiting,
+    pending: Pending,
 }
 
 impl Handle {
@@ -84,36 +84,36 @@
     /// Memory is bounded by the credit that the request gives.
     pub(crate) fn register(&self, number: u64) -> Option<mpsc::UnboundedReceiver<Event>> {
         let (events, receiver) = mpsc::unbounded_channel();
-        lock(&self.waiting).as_mut()?.insert(number, events);
+        lock(&self.pending).as_mut()?.insert(number, events);
         Some(receiver)
     }
 
     /// Ends what [`Handle::register`] began.
-    pub(crate) fn forget(&self, number: u64) {
-        if let Some(waiting) = lock(&self.waiting).as_mut() {
-            waiting.remove(&number);
+    pub(crate) fn deregister(&self, number: u64) {
+        if let Some(pending) = lock(&self.pending).as_mut() {
+            pending.remove(&number);
         }
     }
 
     fn deliver(&self, number: u64, event: Event) {
-        if let Some(waiting) = lock(&self.waiting).as_ref()
-            && let Some(events) = waiting.get(&number)
+        if let Some(pending) = lock(&self.pending).as_ref()
+            && let Some(events) = pending.get(&number)
         {
             // A request that has its answer listens no longer.
             let _ = events.send(event);
         }
     }
 
-    fn lose(&self) {
-        let waiting = lock(&self.waiting).take().unwrap_or_default();
-        for events in waiting.into_values() {
+    fn mark_lost(&self) {
+        let pending = lock(&self.pending).take().unwrap_or_default();
+        for events in pending.into_values() {
             let _ = events.send(Event::Lost);
         }
     }
 }
 
-fn lock(waiting: &Waiting) -> MutexGuard<'_, Option<HashMap<u64, mpsc::UnboundedSender<Event>>>> {
-    waiting.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(pending: &Pending) -> MutexGuard<'_, Option<HashMap<u64, mpsc::UnboundedSender<Event>>>> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Keeps a link to the sidecar `name` open until the router ends.
@@ -124,7 +124,7 @@
     name: String,
 ) {
     let mut epoch = 0;
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = INITIAL_BACKOFF;
     while router.is_connected() {
         epoch += 1;
         let opened = match directory::address(&context.directory, &name) {
@@ -132,13 +132,13 @@
                 hooktrestle_link::dial(&context.link, &context.identity, address, epoch).await
             }
             None => {
-                wait_for_news(&context, backoff).await;
+                wait_before_redial(&context, backoff).await;
                 continue;
             }
         };
         match opened {
             Ok(opened) if opened.peer.identity.instance == name => {
-                backoff = FIRST_BACKOFF;
+                backoff = INITIAL_BACKOFF;
                 serve(&context, &router, server, opened).await;
             }
             Ok(opened) => {
@@ -149,13 +149,13 @@
                 warn!("cannot open a link", kv: { sidecar: = name.as_str(), error: = error.to_string().as_str() });
             }
         }
-        wait_for_news(&context, backoff).await;
-        backoff = (backoff * 2).min(LONGEST_BACKOFF);
+        wait_before_redial(&context, backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 /// Waits out the backoff, or until the instance list changes.
-async fn wait_for_news(context: &Context, backoff: Duration) {
+async fn wait_before_redial(context: &Context, backoff: Duration) {
     let mut directory = context.directory.clone();
     directory.mark_unchanged();
     // Either way it is time to try again.
@@ -174,31 +174,31 @@
         sidecar: peer.identity.instance.as_str().into(),
         incarnation: peer.identity.incarnation,
         epoch: peer.link_epoch,
-        waiting: Arc::new(Mutex::new(Some(HashMap::new()))),
+        pending: Arc::new(Mutex::new(Some(HashMap::new()))),
     };
     info!("link open", kv: { sidecar: = peer.identity.instance.as_str() });
-    let beating = tokio::spawn(beat(context.clone(), sender));
+    let heartbeats = tokio::spawn(send_heartbeats(context.clone(), sender));
     let reason = tokio::select! {
         error = read(context, router, server, &handle, &mut receiver) => error.to_string(),
         () = router.join() => "the gateway has ended".to_owned(),
     };
-    beating.abort();
-    handle.lose();
+    heartbeats.abort();
+    handle.mark_lost();
     if let Some(router) = router.try_upgrade() {
         // A router that has ended routes nothing over this link.
-        let _ = router.send(Down { server, epoch: handle.epoch }).await;
+        let _ = router.send(LinkDown { server, epoch: handle.epoch }).await;
     }
     info!("link lost", kv: { sidecar: = peer.identity.instance.as_str(), reason: = reason.as_str() });
 }
 
-async fn beat(context: Context, sender: Sender) {
+async fn send_heartbeats(context: Context, sender: Sender) {
     loop {
-        let version = config_keeper::version(&context.config).unwrap_or(0);
-        let beat = Frame::Heartbeat(HeartbeatFrame { config_version: version });
-        if sender.send(&beat, &[]).await.is_err() {
+        let version = config_sync::version(&context.config).unwrap_or(0);
+        let heartbeat_frame = Frame::Heartbeat(HeartbeatFrame { config_version: version });
+        if sender.send(&heartbeat_frame, &[]).await.is_err() {
             return;
         }
-        tokio::time::sleep(context.heartbeat).await;
+        tokio::time::sleep(context.heartbeat_interval).await;
     }
 }
 
@@ -211,29 +211,30 @@
     handle: &Handle,
     receiver: &mut Receiver,
 ) -> hooktrestle_link::Error {
-    let mut up = false;
+    let mut reported = false;
     let sender = handle.sender.clone();
-    let mut spread = Spread::new(context.config.clone(), context.keeper.clone(), sender);
+    let mut exchange =
+        ConfigExchange::new(context.config.clone(), context.sync_task.clone(), sender);
     loop {
         let (frame, payload) = match receiver.next().await {
             Ok(message) => message,
             Err(error) => return error,
         };
         if let Frame::Load(load) = frame {
-            spread.heard(load.config_version).await;
+            exchange.request_if_newer(load.config_version).await;
             // A router that has ended needs no news.
             if let Some(router) = router.try_upgrade() {
-                if !up {
-                    let _ = router.send(Up { server, handle: handle.clone() }).await;
-                    up = true;
+                if !reported {
+                    let _ = router.send(LinkUp { server, handle: handle.clone() }).await;
+                    reported = true;
                 }
                 let _ = router.send(Load { server, load }).await;
             }
             continue;
         }
         match &frame {
-            Frame::ConfigAsk(ask) => spread.asked(ask).await,
-            Frame::ConfigPart(part) => spread.part(part, &payload).await,
+            Frame::ConfigAsk(ask) => exchange.send_snapshot(ask).await,
+            Frame::ConfigPart(part) => exchange.add_part(part, &payload).await,
             _ => {}
         }
         if let Some(id) = id_of(&frame) {
--- a/crates/hooktrestled/src/gateway/router.rs
+++ b/crates/hooktrestled/src/gateway/router.rs
@@ -46,25 +46,25 @@
     by_name: HashMap<String, Key<Server>>,
     /// Version of the configuration, and the instance list, that the links follow; `None` when they
     /// have to be looked at again.
-    followed: Option<(u64, Arc<BTreeMap<String, Instance>>)>,
+    applied: Option<(u64, Arc<BTreeMap<String, Instance>>)>,
     /// Services whose callers are given this gateway, by that list.
-    ours: BTreeSet<String>,
+    assigned: BTreeSet<String>,
     /// Services that callers have asked for here although they are given other gateways.
-    asked_for: BTreeSet<String>,
-    linked: watch::Sender<u64>,
+    requested: BTreeSet<String>,
+    link_changes: watch::Sender<u64>,
     address: Option<WeakAddress<Router>>,
 }
 
 /// A link is open.
 #[derive(Debug)]
-pub(crate) struct Up {
+pub(crate) struct LinkUp {
     pub(crate) server: Key<Server>,
     pub(crate) handle: Handle,
 }
 
 /// A link is lost.
 #[derive(Debug)]
-pub(crate) struct Down {
+pub(crate) struct LinkDown {
     pub(crate) server: Key<Server>,
     pub(crate) epoch: u64,
 }
@@ -114,27 +114,27 @@
         context: context.clone(),
         servers: Arena::default(),
         by_name: HashMap::new(),
-        followed: None,
-        ours: BTreeSet::new(),
-        asked_for: BTreeSet::new(),
-        linked: watch::Sender::new(0),
+        applied: None,
+        assigned: BTreeSet::new(),
+        requested: BTreeSet::new(),
+        link_changes: watch::Sender::new(0),
         address: Some(address.downgrade()),
     };
     tokio::spawn(xtra::run(mailbox, router));
-    tokio::spawn(follow(context, address.downgrade()));
+    tokio::spawn(send_refreshes(context, address.downgrade()));
     address
 }
 
 /// A new configuration may be in force.
 #[derive(Debug)]
-struct Follow;
+struct Refresh;
 
-async fn follow(context: links::Context, router: WeakAddress<Router>) {
+async fn send_refreshes(context: links::Context, router: WeakAddress<Router>) {
     let mut config = context.config;
     let mut directory = context.directory;
     loop {
         match router.try_upgrade() {
-            Some(router) if router.send(Follow).await.is_ok() => {}
+            Some(router) if router.send(Refresh).await.is_ok() => {}
             _ => return,
         }
         let changed = tokio::select! {
@@ -153,48 +153,48 @@
     }
 
     /// Takes over weights and drains, and opens links to backend servers that are new.
-    fn follow_config(&mut self) {
+    fn apply_config(&mut self) {
         let Some(config) = self.config() else { return };
         let list = self.context.directory.borrow().clone();
-        if let Some((version, followed)) = &self.followed
+        if let Some((version, applied)) = &self.applied
             && *version == config.version
-            && Arc::ptr_eq(followed, &list)
+            && Arc::ptr_eq(applied, &list)
         {
             return;
         }
-        self.ours = self.given_to_callers(&config, &list);
-        self.followed = Some((config.version, list));
+        self.assigned = self.assigned_services(&config, &list);
+        self.applied = Some((config.version, list));
         for (_, server) in self.servers.iter_mut() {
             server.candidate.weight = 0;
         }
         for (_, service) in config.services.iter() {
-            if self.asked_for.contains(&service.name) || self.ours.contains(&service.name) {
-                self.follow_service(&config, &service.servers);
+            if self.requested.contains(&service.name) || self.assigned.contains(&service.name) {
+                self.apply_service(&config, &service.servers);
             }
         }
     }
 
     /// The services whose callers are given this gateway.
-    fn given_to_callers(
+    fn assigned_services(
         &self,
         config: &Config,
         list: &BTreeMap<String, Instance>,
     ) -> BTreeSet<String> {
         let own = &self.context.identity.instance;
-        let is_ours = |service: &str| {
+        let is_assigned = |service: &str| {
             endpoints::for_service(list, service).iter().any(|instance| instance.name == *own)
         };
         let names = config.services.iter().map(|(_, service)| &service.name);
-        names.filter(|name| is_ours(name)).cloned().collect()
+        names.filter(|name| is_assigned(name)).cloned().collect()
     }
 
-    fn follow_service(&mut self, config: &Config, members: &[Key<BackendServer>]) {
-        let own_centre = &self.context.data_centre;
+    fn apply_service(&mut self, config: &Config, members: &[Key<BackendServer>]) {
+        let local_data_centre = &self.context.data_centre;
         let instances: Vec<subset::Instance<'_>> = members
             .iter()
             .map(|key| {
                 let record = &config.servers[*key];
-                let is_local = config.data_centres[record.data_centre].name == *own_centre;
+                let is_local = config.data_centres[record.data_centre].name == *local_data_centre;
                 subset::Instance { name: &record.name, is_local }
             })
             .collect();
@@ -221,9 +221,9 @@
         });
         self.by_name.insert(name.to_owned(), key);
         if let Some(router) = &self.address {
-            let maintaining =
+            let maintain_task =
                 links::maintain(self.context.clone(), router.clone(), key, name.to_owned());
-            tokio::spawn(maintaining);
+            tokio::spawn(maintain_task);
         }
         key
     }
@@ -243,36 +243,36 @@
     }
 }
 
-impl Handler<Follow> for Router {
+impl Handler<Refresh> for Router {
     type Return = ();
 
-    async fn handle(&mut self, _: Follow, _: &mut Context<Self>) {
-        self.follow_config();
-        self.linked.send_modify(|changes| *changes += 1);
+    async fn handle(&mut self, _: Refresh, _: &mut Context<Self>) {
+        self.apply_config();
+        self.link_changes.send_modify(|changes| *changes += 1);
     }
 }
 
-impl Handler<Up> for Router {
+impl Handler<LinkUp> for Router {
     type Return = ();
 
-    async fn handle(&mut self, up: Up, _: &mut Context<Self>) {
+    async fn handle(&mut self, up: LinkUp, _: &mut Context<Self>) {
         let server = &mut self.servers[up.server];
         server.candidate.usable = true;
         server.link.send_replace(Some(up.handle));
-        self.linked.send_modify(|changes| *changes += 1);
+        self.link_changes.send_modify(|changes| *changes += 1);
     }
 }
 
-impl Handler<Down> for Router {
+impl Handler<LinkDown> for Router {
     type Return = ();
 
-    async fn handle(&mut self, down: Down, _: &mut Context<Self>) {
+    async fn handle(&mut self, down: LinkDown, _: &mut Context<Self>) {
         let server = &mut self.servers[down.server];
         let current = server.link.borrow().as_ref().map(|handle| handle.epoch);
         if current == Some(down.epoch) {
             server.candidate.usable = false;
             server.link.send_replace(None);
-            self.linked.send_modify(|changes| *changes += 1);
+            self.link_changes.send_modify(|changes| *changes += 1);
         }
     }
 }
@@ -297,11 +297,11 @@
     type Return = Option<Choice>;
 
     async fn handle(&mut self, choose: Choose, _: &mut Context<Self>) -> Option<Choice> {
-        self.follow_config();
-        let ours = self.ours.contains(&*choose.service);
-        if !ours && self.asked_for.insert(choose.service.to_string()) {
-            self.followed = None;
-            self.follow_config();
+        self.apply_config();
+        let assigned = self.assigned.contains(&*choose.service);
+        if !assigned && self.requested.insert(choose.service.to_string()) {
+            self.applied = None;
+            self.apply_config();
         }
         let config = self.config()?;
         let service = config.service(&choose.service)?;
@@ -360,7 +360,7 @@
         service: CountLinked,
         _: &mut Context<Self>,
     ) -> (usize, watch::Receiver<u64>) {
-        let changes = self.linked.subscribe();
+        let changes = self.link_changes.subscribe();
         (self.count_linked(&service.0), changes)
     }
 }
--- a/crates/hooktrestled/src/gateway/tickets.rs
+++ b/crates/hooktrestled/src/gateway/tickets.rs
@@ -13,7 +13,7 @@
 const SEPARATOR: char = '~';
 
 /// A fresh ticket for a sidecar's incarnation.
-pub(crate) fn mint(sidecar: &str, incarnation: u64, sidecar_now: Millis) -> Ticket {
+pub(crate) fn new_ticket(sidecar: &str, incarnation: u64, sidecar_now: Millis) -> Ticket {
     Ticket {
         sidecar: sidecar.to_owned(),
         incarnation,
@@ -23,16 +23,16 @@
 }
 
 /// The key that a caller gets for a ticket.
-pub(crate) fn seal(keys: &Keys, account: &str, service: &str, ticket: &Ticket) -> String {
+pub(crate) fn encode_key(keys: &Keys, account: &str, service: &str, ticket: &Ticket) -> String {
     let text = text(ticket);
-    let tag = keys.sign(&signed(account, service, &text));
+    let tag = keys.sign(&signed_text(account, service, &text));
     format!("{text}{SEPARATOR}{tag}")
 }
 
 /// The ticket behind a key; `None` unless this fleet gave it to this account and service.
-pub(crate) fn open(keys: &Keys, account: &str, service: &str, key: &str) -> Option<Ticket> {
+pub(crate) fn decode_key(keys: &Keys, account: &str, service: &str, key: &str) -> Option<Ticket> {
     let (text, tag) = key.rsplit_once(SEPARATOR)?;
-    if !keys.verify(&signed(account, service, text), tag) {
+    if !keys.verify(&signed_text(account, service, text), tag) {
         return None;
     }
     let mut parts = text.split(SEPARATOR);
@@ -48,6 +48,6 @@
     format!("{sidecar}{SEPARATOR}{incarnation:x}{SEPARATOR}{issued_at_ms}{SEPARATOR}{nonce:x}")
 }
 
-fn signed(account: &str, service: &str, text: &str) -> String {
+fn signed_text(account: &str, service: &str, text: &str) -> String {
     format!("ticket|{account}|{service}|{text}")
 }
--- a/crates/hooktrestled/src/headers.rs
+++ b/crates/hooktrestled/src/headers.rs
@@ -38,7 +38,7 @@
 }
 
 /// Whether a caller's header is passed on to backend servers: the account's key stays here.
-pub(crate) fn is_passed_on(name: &HeaderName) -> bool {
+pub(crate) fn is_forwarded(name: &HeaderName) -> bool {
     let own = name.as_str().starts_with(OWN_PREFIX) || name == http::header::AUTHORIZATION;
     !own && name != "traceparent" && !is_hop_by_hop(name)
 }
--- a/crates/hooktrestled/src/lib.rs
+++ b/crates/hooktrestled/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`settings`]: the INI file, checked.
 //! - [`gateway`]: the process on an entry instance: callers' HTTP in, links to sidecars out.
 //! - [`sidecar`]: the process in a backend server's slot: links in, the backend server behind.
-//! - [`config_keeper`]: keeps a process at the newest accepted configuration.
+//! - [`config_sync`]: keeps a process at the newest accepted configuration.
 //! - [`acceptor`]: turns the operators' edits into the next configuration; runs in gateways.
 //! - [`directory`]: the platform's instance list, polled.
 //!
@@ -12,7 +12,8 @@
 
 pub mod acceptor;
 mod admin;
-pub mod config_keeper;
+mod config_exchange;
+pub mod config_sync;
 pub mod directory;
 mod drain;
 pub mod gateway;
@@ -21,5 +22,4 @@
 mod process;
 pub mod settings;
 pub mod sidecar;
-mod spread;
 mod traces;
--- a/crates/hooktrestled/src/process.rs
+++ b/crates/hooktrestled/src/process.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpListener;
 use xtra::Address;
 
-use crate::config_keeper;
-use crate::config_keeper::ConfigKeeper;
+use crate::config_sync;
+use crate::config_sync::ConfigSync;
 use crate::directory;
 use crate::settings;
 use crate::traces::Traces;
@@ -22,8 +22,8 @@
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) platform: Platform,
-    pub(crate) keeper: Address<ConfigKeeper>,
-    pub(crate) config: config_keeper::Watch,
+    pub(crate) sync_task: Address<ConfigSync>,
+    pub(crate) config: config_sync::Watch,
     pub(crate) directory: directory::Watch,
     pub(crate) identity: Identity,
     pub(crate) listener: TcpListener,
@@ -42,7 +42,7 @@
         let instance = &settings.instance;
         let platform = Platform::new(settings::platform(settings))?;
         let poll = settings::millis(settings.platform.poll_ms);
-        let (keeper, config) = config_keeper::start(platform.clone(), poll);
+        let (sync_task, config) = config_sync::start(platform.clone(), poll);
         let listener = TcpListener::bind(&instance.listen)
             .await
             .wrap_err_with(|| format!("cannot listen on {}", instance.listen))?;
@@ -56,7 +56,7 @@
             traces: Traces::new(settings.traces.as_ref(), &instance.name)?,
             clock: ProcessClock::default(),
             platform,
-            keeper,
+            sync_task,
             config,
             listener,
         })
--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -24,10 +24,10 @@
 use xtra::Address;
 
 use crate::admin;
-use crate::admin::Figure;
 use crate::admin::Observe;
 use crate::admin::Observed;
-use crate::config_keeper;
+use crate::admin::Sample;
+use crate::config_sync;
 use crate::drain;
 use crate::process::Process;
 use crate::settings;
@@ -52,36 +52,36 @@
     desk: Address<Desk>,
     tasks: [AbortHandle; 3],
     traces: Traces,
-    config: config_keeper::Watch,
+    config: config_sync::Watch,
 }
 
 /// A sidecar as operators observe it.
 #[derive(Clone, Debug)]
 struct Observer {
     desk: Address<Desk>,
-    config: config_keeper::Watch,
+    config: config_sync::Watch,
 }
 
 impl Observe for Observer {
     async fn observe(&self) -> Observed {
-        let version = config_keeper::version(&self.config);
+        let version = config_sync::version(&self.config);
         let Ok(load) = self.desk.send(desk::ReadLoad).await else {
-            return Observed { is_ready: false, figures: Vec::new() };
+            return Observed { is_ready: false, samples: Vec::new() };
         };
-        let figures = vec![
-            Figure::config_version(version),
-            Figure {
+        let samples = vec![
+            Sample::config_version(version),
+            Sample {
                 name: "queued_requests",
                 help: "Requests that wait for the backend server",
                 value: i64::from(load.queued_requests),
             },
-            Figure {
+            Sample {
                 name: "running_requests",
                 help: "Requests that run at the backend server",
                 value: i64::from(load.running_requests),
             },
         ];
-        Observed { is_ready: version.is_some() && !load.leaving, figures }
+        Observed { is_ready: version.is_some() && !load.leaving, samples }
     }
 }
 
@@ -103,7 +103,7 @@
         let sidecar =
             settings.sidecar.clone().ok_or_else(|| eyre::eyre!("[sidecar] is missing"))?;
         let process = Process::start(settings).await?;
-        let Process { platform, keeper, config, directory, identity, .. } = process;
+        let Process { platform, sync_task, config, directory, identity, .. } = process;
         let Process { listener, address, traces, clock, .. } = process;
         let backend = run::Backend::new(&sidecar.backend_url, traces.clone())?;
         let desk = desk::start(desk::Setup {
@@ -128,7 +128,7 @@
             backend,
             identity,
             desk: desk.clone(),
-            keeper,
+            sync_task,
             config: config.clone(),
             heartbeat: settings::millis(settings.links.heartbeat_ms),
         };
@@ -149,7 +149,7 @@
     }
 
     /// The configuration in force here.
-    pub fn config(&self) -> config_keeper::Watch {
+    pub fn config(&self) -> config_sync::Watch {
         self.config.clone()
     }
 
--- a/crates/hooktrestled/src/sidecar/desk.rs
+++ b/crates/hooktrestled/src/sidecar/desk.rs
@@ -42,7 +42,7 @@
 use xtra::Mailbox;
 use xtra::WeakAddress;
 
-use crate::config_keeper;
+use crate::config_sync;
 use crate::sidecar::run;
 use crate::sidecar::run::Backend;
 use crate::sidecar::run::Job;
@@ -55,7 +55,7 @@
     pub(super) clock: ProcessClock,
     pub(super) limits: dispatch::Config,
     pub(super) backend: Backend,
-    pub(super) config: config_keeper::Watch,
+    pub(super) config: config_sync::Watch,
 }
 
 /// The actor.
--- a/crates/hooktrestled/src/sidecar/group.rs
+++ b/crates/hooktrestled/src/sidecar/group.rs
@@ -34,7 +34,7 @@
 use spdlog::warn;
 use tokio::time::sleep;
 
-use crate::config_keeper;
+use crate::config_sync;
 use crate::directory;
 use crate::poll::jittered;
 use crate::settings::millis;
@@ -59,7 +59,7 @@
     pub(super) platform: Platform,
     pub(super) link: hooktrestle_link::Config,
     pub(super) identity: Identity,
-    pub(super) config: config_keeper::Watch,
+    pub(super) config: config_sync::Watch,
     pub(super) directory: directory::Watch,
     pub(super) backend: Backend,
     pub(super) clock: ProcessClock,
--- a/crates/hooktrestled/src/sidecar/links.rs
+++ b/crates/hooktrestled/src/sidecar/links.rs
@@ -23,14 +23,14 @@
 use tokio::sync::mpsc;
 use xtra::Address;
 
-use crate::config_keeper;
-use crate::config_keeper::ConfigKeeper;
+use crate::config_exchange::ConfigExchange;
+use crate::config_sync;
+use crate::config_sync::ConfigSync;
 use crate::sidecar::desk;
 use crate::sidecar::desk::Desk;
 use crate::sidecar::run::Backend;
 use crate::sidecar::run::BodyPiece;
 use crate::sidecar::run::Job;
-use crate::spread::Spread;
 
 /// Connections whose peer has not proved itself yet; more wait to be accepted.
 const MOST_STRANGERS: usize = 64;
@@ -41,8 +41,8 @@
     pub(super) link: hooktrestle_link::Config,
     pub(super) identity: Identity,
     pub(super) desk: Address<Desk>,
-    pub(super) keeper: Address<ConfigKeeper>,
-    pub(super) config: config_keeper::Watch,
+    pub(super) sync_task: Address<ConfigSync>,
+    pub(super) config: config_sync::Watch,
     pub(super) heartbeat: Duration,
     pub(super) backend: Backend,
 }
@@ -123,7 +123,8 @@
     link: Link,
 ) -> hooktrestle_link::Error {
     let mut open: HashMap<RequestId, Open> = HashMap::new();
-    let mut spread = Spread::new(context.config.clone(), context.keeper.clone(), sender.clone());
+    let mut exchange =
+        ConfigExchange::new(context.config.clone(), context.sync_task.clone(), sender.clone());
     loop {
         let (frame, payload) = match receiver.next().await {
             Ok(message) => message,
@@ -161,10 +162,12 @@
             Frame::Ack(frame) => {
                 send(context, desk::Acknowledge(link, RequestId::from(&frame.id))).await;
             }
-            Frame::Heartbeat(heartbeat) => spread.heard(heartbeat.config_version).await,
+            Frame::Heartbeat(heartbeat) => {
+                exchange.request_if_newer(heartbeat.config_version).await
+            }
             Frame::MapOrder(frame) => pass_on(context, sender, frame.order),
-            Frame::ConfigAsk(ask) => spread.asked(&ask).await,
-            Frame::ConfigPart(part) => spread.part(&part, &payload).await,
+            Frame::ConfigAsk(ask) => exchange.send_snapshot(&ask).await,
+            Frame::ConfigPart(part) => exchange.add_part(&part, &payload).await,
             _ => {}
         }
     }
--- a/crates/hooktrestled/src/traces.rs
+++ b/crates/hooktrestled/src/traces.rs
@@ -99,7 +99,7 @@
     }
 
     /// Adds a fact that is known only now.
-    pub(crate) fn note(&self, key: &'static str, value: String) {
+    pub(crate) fn add_attribute(&self, key: &'static str, value: String) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
 }
