--- a/crates/hooktrestled/src/gateway.rs
+++ b/crates/hooktrestled/src/gateway.rs
@@ -1,12 +1,15 @@
-//! The process on an entry instance: callers' HTTP in, links to sidecars out.
+//! The gateway process: receives HTTP requests from callers and sends them over links to sidecars.
+//! Its state is the configuration in force, the instance list, the links with the sidecars' load,
+//! the accounts' limits and the retry budget. It decides when the gateway is ready and when it has
+//! left.
 //!
-//! - [`http`]: what callers see.
+//! - [`http`]: the HTTP interface for callers.
 //! - [`drive`]: one request, from its first attempt to its final answer.
-//! - [`router`]: the actor that chooses backend servers and keeps the links' state.
+//! - [`router`]: the actor that chooses backend servers and holds the state of the links.
 //! - [`links`]: keeps one link to each sidecar open.
-//! - [`endpoints`]: which gateways callers should use.
+//! - [`endpoints`]: the list of gateways that callers of a service get.
 //! - [`tickets`]: the keys of requests that are not repeatable.
-//! - [`body`]: a caller's body, kept for another attempt while it is small.
+//! - [`body`]: a request body, buffered for retries while it is small.
 
 mod body;
 mod drive;
@@ -47,7 +50,7 @@
 use crate::settings;
 use crate::traces::Traces;
 
-/// What every request at a gateway needs; clones share it.
+/// State that all requests at a gateway share. Clones refer to the same state.
 #[derive(Clone, Debug)]
 pub(crate) struct Shared {
     pub(crate) identity: Arc<Identity>,
@@ -82,12 +85,12 @@
     }
 }
 
-/// A running gateway; it ends, cutting everything off, when this is dropped.
+/// A running gateway. Dropping it stops the gateway without waiting for requests in flight.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub address: SocketAddr,
-    /// Where operators ask for health and metrics.
+    /// The address of health, readiness and metrics, for operators.
     pub admin_address: SocketAddr,
     shared: Shared,
     tasks: Vec<AbortHandle>,
@@ -155,10 +158,10 @@
         self.shared.config.clone()
     }
 
-    /// Leaves: drops out of the endpoints that callers get, serves until kept answers have
-    /// expired and the last request has ended.
+    /// Leaves: removes the gateway from the endpoints that callers get, then serves until the
+    /// endpoint lists that callers hold have expired and the last request has ended.
     ///
-    /// Returns the number of requests still open when `within` had passed.
+    /// Returns the number of requests that were still open when `within` had passed.
     pub async fn leave(&self, within: Duration) -> usize {
         self.shared.leaving.send_replace(true);
         let keep = settings::millis(self.shared.settings.keep_endpoints_ms).min(within);
@@ -168,7 +171,7 @@
         cut_off
     }
 
-    /// Waits until a link to this many backend servers of a service is open.
+    /// Waits until links to at least `servers` backend servers of a service are open.
     pub async fn wait_linked(&self, service: &str, servers: usize) {
         let mut config = self.shared.config.clone();
         loop {
--- a/crates/hooktrestled/src/gateway/body.rs
+++ b/crates/hooktrestled/src/gateway/body.rs
@@ -1,4 +1,6 @@
-//! A caller's body on its way to a sidecar, kept for another attempt while it is small.
+//! The upload of a request body to a sidecar. The input is the caller's body and the sidecar's
+//! credit; the state is the chunks received so far, buffered for a retry while the body is small.
+//! The module decides when a chunk is sent, and whether a retry can send the body again.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,24 +15,24 @@
 use tokio::sync::Mutex;
 use tokio::sync::Semaphore;
 
-/// Body bytes kept for another attempt; a request with more has one attempt only.
+/// Maximum body bytes buffered for a retry. A request with a larger body has one attempt only.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Body bytes sent ahead of the sidecar's credit.
+/// Body bytes that may be sent before the first credit of the sidecar.
 const INITIAL_CREDIT_BYTES: usize = 64 * 1024;
 
-/// Largest piece in one frame.
-const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum body bytes in one frame.
+const MAX_PAYLOAD_BYTES: usize = 16 * 1024;
 
-/// A caller's body as it arrives. Boxed once a request, not once a piece.
+/// A caller's body as it arrives. It is boxed once for each request, not for each chunk.
 pub(crate) type Chunks = Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>> + Send>>;
 
-/// Why a caller's body is not whole.
+/// Reason why a caller's body is incomplete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum BodyError {
-    /// The caller broke it off.
+    /// The caller stopped sending before the end.
     Truncated,
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     TooLarge,
 }
 
@@ -44,7 +46,7 @@
     overflowed: bool,
 }
 
-/// A body that several attempts may send, one after the other.
+/// A request body. Attempts send it one after the other.
 #[derive(Clone)]
 pub(crate) struct Body {
     source: Arc<Mutex<Source>>,
@@ -71,23 +73,23 @@
         Body { source: Arc::new(Mutex::new(source)) }
     }
 
-    /// A body that is here whole.
+    /// A body that has arrived completely.
     pub(crate) fn complete(bytes: Bytes) -> Body {
         let limit_bytes = bytes.len() as u64;
         let one = futures_util::stream::iter([Ok(bytes)]);
         Body::new(Box::pin(one), limit_bytes)
     }
 
-    /// Whether another attempt could send it all.
+    /// Whether a retry can send the whole body again.
     pub(crate) async fn can_resend(&self) -> bool {
         !self.source.lock().await.overflowed
     }
 
-    /// Sends the body from its beginning, as credit allows.
+    /// Sends the body from its beginning, within the credit.
     ///
     /// # Errors
     ///
-    /// The body is not whole; what was sent must be cancelled.
+    /// The body is incomplete; the attempt must be cancelled.
     pub(crate) async fn upload(
         &self,
         sender: &Sender,
@@ -102,7 +104,7 @@
             let last = chunk.is_none();
             let mut bytes = chunk.unwrap_or_default();
             loop {
-                let payload = bytes.split_to(bytes.len().min(MAX_CHUNK_BYTES));
+                let payload = bytes.split_to(bytes.len().min(MAX_PAYLOAD_BYTES));
                 let done = bytes.is_empty();
                 if !send(sender, id, sequence, &payload, last && done, credit).await {
                     return Ok(());
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The piece at `index`, from what is kept or from the caller; `None` at the end.
+    /// The chunk at `index`, from the buffer or from the caller; `None` at the end.
     async fn chunk(&self, index: usize) -> Result<Option<Bytes>, BodyError> {
         let mut source = self.source.lock().await;
         if !source.overflowed && index < source.buffered.len() {
@@ -156,12 +158,13 @@
     }
 }
 
-/// Credit for the first pieces of an upload.
+/// Credit at the start of an upload.
 pub(crate) fn initial_credit() -> Arc<Semaphore> {
     Arc::new(Semaphore::new(INITIAL_CREDIT_BYTES))
 }
 
-/// `false` when the link is lost; the request hears of that by itself.
+/// Sends one frame when the credit allows; `false` if the link is lost. The request receives the
+/// loss of the link as an event of its own.
 async fn send(
     sender: &Sender,
     id: RequestId,
--- a/crates/hooktrestled/src/gateway/drive.rs
+++ b/crates/hooktrestled/src/gateway/drive.rs
@@ -1,4 +1,7 @@
-//! One request at a gateway: carries out what the attempts' machine says.
+//! Drives one request at a gateway, as one task. Its input is the request, the frames of its
+//! attempts and the deadline; its state is the attempts, the newest attempt's link, and the channel
+//! to the caller. The state machine [`Attempts`] decides on retries; the driver carries out each
+//! [`Next`].
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -49,16 +52,16 @@
 use crate::gateway::tickets;
 use crate::traces::Hop;
 
-/// Answer bytes that a sidecar may send ahead of the caller's reading.
+/// Answer bytes that a sidecar may send before the caller has received them.
 const CREDIT_BYTES: u64 = 256 * 1024;
 
-/// Pieces of an answer between the driver and the caller's connection.
+/// Capacity of the channel of answer chunks from the driver to the caller's connection.
 const BUFFERED_CHUNKS: usize = 16;
 
-/// When to come back if no backend server can be reached.
+/// The `retry_after` that callers get if no backend server can be reached.
 const NO_SERVER_RETRY_AFTER: Millis = Millis(1_000);
 
-/// A request as the HTTP side hands it over.
+/// A request, as the HTTP interface passes it on.
 #[derive(Debug)]
 pub(crate) struct Incoming {
     pub(crate) service: Arc<str>,
@@ -72,26 +75,26 @@
     pub(crate) priority: u8,
     pub(crate) cost_tokens: u32,
     pub(crate) retry_policy: RetryPolicy,
-    /// The caller's own ticket, with [`RetryPolicy::Never`].
+    /// The ticket that the caller sent, with [`RetryPolicy::Never`].
     pub(crate) ticket: Option<Ticket>,
-    /// The gateway's part of the request's trace.
+    /// The gateway's span in the trace of the request.
     pub(crate) hop: Hop,
     pub(crate) body: Body,
 }
 
-/// The beginning of an answer, and the channel that the rest comes through.
+/// Status and headers of an answer, and the channel for its body.
 #[derive(Debug)]
 pub(crate) struct Head {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
-    /// Ends with an error if the answer is not whole, and without one if it is.
+    /// Ends with an error if the answer is truncated, and without an error if it is complete.
     pub(crate) body: mpsc::Receiver<Result<Bytes, Refusal>>,
 }
 
-/// What the caller's side waits for.
+/// Result that the HTTP interface waits for.
 pub(crate) type Answer = Result<Head, Refusal>;
 
-/// The way to the caller.
+/// Channel to the HTTP interface, by progress of the answer.
 #[derive(Debug)]
 enum CallerChannel {
     Head(oneshot::Sender<Answer>),
@@ -122,7 +125,7 @@
     deadline: Millis,
 }
 
-/// What happened while waiting.
+/// Reason why a wait ended.
 #[allow(clippy::large_enum_variant, reason = "moved once; a box would cost an allocation")]
 enum Wakeup {
     Event(Event),
@@ -131,14 +134,14 @@
     CallerDisconnected,
 }
 
-/// Counts a request as open while it lives: at the gateway, and for its account.
+/// Counts a request as in flight, at the gateway and for its account, until it is dropped.
 struct InFlightGuard {
     shared: Shared,
     account: u64,
 }
 
 impl InFlightGuard {
-    /// Admits a request within its account's limits.
+    /// Admits a request if its account's limits allow.
     fn admit(shared: &Shared, incoming: &Incoming) -> Result<InFlightGuard, Refusal> {
         let live = directory::live_gateway_count(&shared.directory.borrow());
         let gateways = live.min(subset::GATEWAYS_PER_SERVICE);
@@ -160,11 +163,11 @@
     }
 }
 
-/// Starts driving a request; the answer's head, or the refusal, comes through the channel.
+/// Starts a task that drives a request. The channel receives the answer's head, or the refusal.
 ///
 /// # Errors
 ///
-/// The account is over its limits.
+/// The request exceeds a limit of its account.
 pub(crate) fn start(
     shared: Shared,
     incoming: Incoming,
@@ -211,7 +214,8 @@
         self.release().await;
     }
 
-    /// Sends the newest attempt to a backend server that has not been tried.
+    /// Sends the newest attempt to a backend server that has not been tried. If the caller sent a
+    /// ticket, sends it to the sidecar that the ticket names.
     async fn send(&mut self, id: RequestId) -> Next {
         self.release().await;
         if id.attempt > 0 && !self.incoming.body.can_resend().await {
@@ -229,7 +233,7 @@
         let ticket = self.ticket(&choice);
         let frame = self.frame(id, ticket.clone());
         let handle = choice.handle;
-        // If the link is lost meanwhile, the events say so.
+        // An error means that the link is lost; `Event::Lost` reports that too.
         let _ = handle.sender.send(&Frame::Request(frame), &[]).await;
         self.attempts.sent();
         let credit = body::initial_credit();
@@ -242,7 +246,7 @@
 
     async fn choose(&self) -> Option<Choice> {
         let router = &self.shared.router;
-        // A router that has ended chooses nothing any more.
+        // An error means that the router has ended; it is handled as no choice.
         if let Some(ticket) = &self.incoming.ticket {
             return router.send(Find(ticket.sidecar.clone())).await.ok().flatten();
         }
@@ -250,8 +254,8 @@
         router.send(Choose { service, tried: self.tried.clone() }).await.ok().flatten()
     }
 
-    /// The refusal when nothing can be chosen. What a caller's own ticket did earlier is not known
-    /// here.
+    /// The refusal if no backend server can be chosen. A ticket that the caller sent may have run
+    /// earlier: this gateway does not know.
     fn unroutable(&self) -> Refusal {
         let refusal = attempt::no_backend_server(NO_SERVER_RETRY_AFTER);
         match self.incoming.retry_policy {
@@ -302,14 +306,14 @@
         let credit = Arc::clone(credit);
         let task = tokio::spawn(async move {
             if let Err(error) = body.upload(&sender, id, &credit).await {
-                // The request may have ended by itself.
+                // An error means that the request has ended meanwhile.
                 let _ = failed.send(error).await;
             }
         });
         task.abort_handle()
     }
 
-    /// Waits for one thing to happen; `None` if the caller has gone.
+    /// Waits for one event and handles it; `None` if the caller has disconnected.
     async fn wait(&mut self) -> Option<Next> {
         let wakeup = self.next_wakeup().await;
         match wakeup {
@@ -328,7 +332,7 @@
 
     async fn next_wakeup(&mut self) -> Wakeup {
         let Some(current) = &mut self.current else {
-            debug_assert!(false, "only a sent attempt is waited for");
+            debug_assert!(false, "waited without a sent attempt");
             return Wakeup::Deadline;
         };
         let disconnected = async {
@@ -393,13 +397,14 @@
         let CallerChannel::Head(head) =
             std::mem::replace(&mut self.caller_channel, CallerChannel::Body(sender))
         else {
-            debug_assert!(false, "a head is forwarded once");
+            debug_assert!(false, "head of an answer forwarded twice");
             return None;
         };
         head.send(Ok(Head { status, headers, body })).ok()
     }
 
-    /// Passes a piece on; a caller that reads slowly holds up only its own answer.
+    /// Sends a chunk to the caller, and returns its credit to the sidecar. A caller that reads
+    /// slowly delays only its own answer.
     async fn forward(&mut self, next: Next, payload: Bytes) -> Option<Next> {
         if payload.is_empty() {
             return Some(next);
@@ -412,13 +417,13 @@
         }
         if let Some(current) = &self.current {
             let credit = CreditFrame { id: self.attempts.id().into(), more_bytes };
-            // If the link is lost, the events say so.
+            // An error means that the link is lost; `Event::Lost` reports that too.
             let _ = current.handle.sender.send(&Frame::Credit(credit), &[]).await;
         }
         Some(next)
     }
 
-    /// Asks the sidecar, over a new link, what became of the newest attempt.
+    /// Queries the sidecar, over a new link, for the outcome of the newest attempt.
     async fn settle(&mut self, id: RequestId) -> Next {
         let clock = self.shared.clock;
         let within = Millis(self.shared.settings.settle_ms);
@@ -439,7 +444,7 @@
             |link: &Option<Handle>| link.as_ref().is_some_and(|link| link.epoch > lost_epoch);
         let handle = link.wait_for(is_new).await.ok()?.clone()?;
         if handle.incarnation != incarnation {
-            // The one that knew is gone.
+            // Only the incarnation that received the attempt knows its outcome.
             return None;
         }
         let mut events = handle.register(id.number)?;
@@ -457,13 +462,13 @@
         }
     }
 
-    /// Gives the caller the final answer, and stops what may still run.
+    /// Sends the final answer to the caller, and cancels an attempt that may still run.
     async fn finish(&mut self, refusal: Refusal) {
         self.incoming.hop.add_attribute("hooktrestle.verdict", refusal.verdict.to_string());
         self.incoming.hop.add_attribute("hooktrestle.cause", refusal.cause.to_string());
         match std::mem::replace(&mut self.caller_channel, CallerChannel::Closed) {
             CallerChannel::Head(head) => {
-                // A caller that has gone needs no answer.
+                // An error means that the caller has disconnected.
                 let _ = head.send(Err(refusal));
             }
             CallerChannel::Body(body) => {
@@ -488,12 +493,12 @@
 
     async fn send_frame(&mut self, frame: Frame) {
         if let Some(current) = &self.current {
-            // If the link is lost, the sidecar knows that nobody waits.
+            // An error means that the link is lost; the sidecar detects that too.
             let _ = current.handle.sender.send(&frame, &[]).await;
         }
     }
 
-    /// Ends the newest attempt's use of its link and backend server.
+    /// Stops the upload of the newest attempt, and releases its link and backend server.
     async fn release(&mut self) {
         if let Some(current) = self.current.take() {
             current.upload.abort();
@@ -503,7 +508,7 @@
     }
 
     async fn release_server(&self, server: Key<Server>) {
-        // A router that has ended counts nothing any more.
+        // An error means that the router has ended; it has no counts to update.
         let _ = self.shared.router.send(Release(server)).await;
     }
 }
@@ -520,7 +525,8 @@
     }
 }
 
-/// The body is fed to the backend server as it comes, so the request may have run on a part of it.
+/// A body is sent to the backend server while it arrives, so the request may have run on a part of
+/// it.
 fn body_refusal(error: BodyError) -> Refusal {
     match error {
         BodyError::Truncated => Refusal::may_have_run(Cause::Cancelled),
--- a/crates/hooktrestled/src/gateway/endpoints.rs
+++ b/crates/hooktrestled/src/gateway/endpoints.rs
@@ -1,4 +1,6 @@
-//! Which gateways callers should use.
+//! Endpoint lists for callers. The input is the instance list, the name of a service and the
+//! configuration in force; there is no state. The module decides which gateways a service's callers
+//! use, and with which weights.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +14,8 @@
 use crate::config_sync::InForce;
 use crate::gateway::Shared;
 
-/// The gateways that callers of a service are given: some of the live ones, always the same, so that
-/// each gateway needs links for few services only.
+/// The gateways for the callers of a service: a subset of the live gateways. The same list gives
+/// the same subset, so that each gateway needs links for few services only.
 pub(crate) fn for_service<'a>(
     directory: &'a BTreeMap<String, Instance>,
     service: &str,
@@ -31,8 +33,8 @@
     chosen.into_iter().map(|index| live[index]).collect()
 }
 
-/// The answer to a caller that asks for a service's endpoints. Gateways in data centres that are
-/// drained, or have weight 0, are left out, unless that leaves none.
+/// The response to a request for a service's endpoints. Gateways in data centres that are draining
+/// or have weight 0 are left out, unless no gateway would be left.
 pub(crate) fn answer(shared: &Shared, in_force: &InForce, service: &str) -> EndpointsAnswer {
     let directory = shared.directory.borrow().clone();
     let own = &shared.identity.instance;
--- a/crates/hooktrestled/src/gateway/http.rs
+++ b/crates/hooktrestled/src/gateway/http.rs
@@ -1,4 +1,6 @@
-//! What callers see: HTTP.
+//! The HTTP interface of a gateway for callers. Its input is HTTP requests; its state is
+//! [`Shared`], of which it reads the configuration in force. It authenticates the account, resolves
+//! the service, estimates the cost in tokens, and decides the response's status and headers.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -51,22 +53,22 @@
 use crate::headers;
 use crate::traces::TRACEPARENT;
 
-/// Estimated tokens of a chat answer whose request names no number.
+/// Estimated tokens of a chat answer if the request has no `max_tokens`.
 const DEFAULT_ANSWER_TOKENS: u32 = 256;
 
-/// Bytes of a prompt that make about one token.
+/// Estimated bytes of a prompt for each token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Estimated cost of a plain call, in the fair queue's tokens.
+/// Estimated cost of a request to a plain service, in tokens of the fair queue.
 const PLAIN_COST_TOKENS: u32 = 1;
 
-/// Highest priority that a caller can ask for.
+/// Highest priority that a caller can request.
 const MAX_PRIORITY: u8 = 9;
 
-/// Where plain services are called: `/services/NAME/PATH`.
+/// Prefix of the paths of plain services: `/services/NAME/PATH`.
 const SERVICES_PATH: &str = "/services/";
 
-/// A refusal with the sentence that tells the caller what to mend, if there is one.
+/// A refusal, with a message for the caller on how to correct the request, if there is one.
 #[derive(Debug)]
 struct Problem {
     refusal: Refusal,
@@ -85,7 +87,7 @@
     }
 }
 
-/// One call, before its body is read.
+/// An HTTP request without its body.
 #[derive(Debug)]
 struct Call {
     method: Method,
@@ -94,7 +96,7 @@
     headers: HeaderMap,
 }
 
-/// All routes.
+/// The filter that serves all paths.
 pub(crate) fn routes(
     shared: Shared,
 ) -> impl Filter<Extract = (Response,), Error = Infallible> + Clone + Send + Sync + 'static {
@@ -135,7 +137,7 @@
     answered.unwrap_or_else(|problem| problem_response(&problem))
 }
 
-/// What operators' tools ask; it names no account and no request.
+/// The status for operators' tools. It contains no data on single accounts or requests.
 fn status(shared: &Shared) -> Response {
     let version = config_sync::version(&shared.config);
     let answer = StatusAnswer {
@@ -167,7 +169,7 @@
     let choose = Choose { service: service.as_str().into(), tried: Vec::new() };
     let unroutable = || Problem::from(Refusal::not_run(Cause::NoBackendServer));
     let choice = shared.router.send(choose).await.ok().flatten().ok_or_else(unroutable)?;
-    // A router that has ended counts nothing any more.
+    // An error means that the router has ended; it has no counts to update.
     let _ = shared.router.send(Release(choice.server)).await;
     let handle = &choice.handle;
     let ticket = tickets::new_ticket(&handle.sidecar, handle.incarnation, choice.sidecar_now);
@@ -193,7 +195,7 @@
     let prompt_tokens = u32::try_from(bytes.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
     let cost_tokens = prompt_tokens.saturating_add(answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS));
     let mut call = call;
-    // The body is JSON, whatever the caller calls it; engines are less patient.
+    // The body was parsed as JSON whatever its content type; engines may reject another type.
     call.headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let request = Request { service: model, kind: ServiceKind::Model, cost_tokens };
     let incoming = incoming(&shared, &in_force, account, &call, request, Body::complete(bytes))?;
@@ -222,7 +224,7 @@
     answer(shared, incoming).await
 }
 
-/// What a call asks for.
+/// The service that a call is for, and its estimated cost.
 #[derive(Debug)]
 struct Request {
     service: String,
@@ -335,21 +337,22 @@
     response
 }
 
-/// The end of an answer that is not whole: in a stream of events an `error` event says why; in any
-/// case the connection is broken off, so that nobody takes the answer for a whole one.
+/// The end of a truncated answer: an `error` event with the reason if the answer is an event
+/// stream, then an error that aborts the connection, so that the caller does not consider the
+/// answer complete.
 fn truncated_tail(
     refusal: Refusal,
     is_stream: bool,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync + 'static {
     let body = serde_json::to_string(&refusal.body()).unwrap_or_default();
     let event = if is_stream { format!("event: error\ndata: {body}\n\n") } else { String::new() };
-    let break_off = async {
-        // The server writes out what it has while it waits for more: without this the event would
-        // be dropped together with the connection.
+    let abort_connection = async {
+        // The HTTP server writes its buffer when the stream is pending. Without this yield the
+        // event would be dropped with the connection.
         tokio::task::yield_now().await;
-        Err(std::io::Error::other("the answer is not whole"))
+        Err(std::io::Error::other("answer truncated"))
     };
-    stream::once(std::future::ready(Ok(Bytes::from(event)))).chain(stream::once(break_off))
+    stream::once(std::future::ready(Ok(Bytes::from(event)))).chain(stream::once(abort_connection))
 }
 
 fn problem_response(problem: &Problem) -> Response {
--- a/crates/hooktrestled/src/gateway/links.rs
+++ b/crates/hooktrestled/src/gateway/links.rs
@@ -1,4 +1,6 @@
-//! Keeps one link to each sidecar open, and hands each frame to the request that it is for.
+//! The gateway's end of a link to one sidecar. Its input is the instance list and the frames of the
+//! sidecar; its state is the open link and the requests registered on it. It decides when to dial
+//! again, and routes each frame to the request that the frame names.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,13 +34,13 @@
 use crate::gateway::router::Server;
 use crate::poll::jittered;
 
-/// First wait before a lost link is dialled again; it doubles up to [`MAX_BACKOFF`].
+/// First wait before a lost link is dialled again. It doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest such wait.
+/// Maximum wait before a lost link is dialled again.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What every link needs.
+/// Configuration and shared state of all links.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
     pub(crate) link: hooktrestle_link::Config,
@@ -51,44 +53,44 @@
     pub(crate) clock: ProcessClock,
 }
 
-/// What a request hears from the link that carries it.
+/// Event of a link, for a request registered on it.
 #[derive(Debug)]
 #[allow(clippy::large_enum_variant, reason = "a box would cost an allocation for each token")]
 pub(crate) enum Event {
     /// A frame, with its payload.
     Frame(Frame, Bytes),
-    /// The link is gone; nothing more will come.
+    /// The link is lost. This is the last event.
     Lost,
 }
 
 type Pending = Arc<Mutex<Option<HashMap<u64, mpsc::UnboundedSender<Event>>>>>;
 
-/// An open link, as requests use it; clones share it.
+/// An open link. Clones refer to the same link.
 #[derive(Clone, Debug)]
 pub(crate) struct Handle {
-    /// Sends frames.
+    /// Sender of frames on the link.
     pub(crate) sender: Sender,
     /// The sidecar's instance.
     pub(crate) sidecar: Arc<str>,
     /// The sidecar's incarnation.
     pub(crate) incarnation: u64,
-    /// Grows with each link to this sidecar.
+    /// Number of the link among those to this sidecar. Later links have higher numbers.
     pub(crate) epoch: u64,
-    /// Requests that wait for frames; `None` once the link is lost.
+    /// Requests that wait for frames, by number; `None` once the link is lost.
     pending: Pending,
 }
 
 impl Handle {
-    /// Registers a request for the frames that are about it; `None` if the link is lost.
+    /// Registers a request for the frames that name it; `None` if the link is lost.
     ///
-    /// Memory is bounded by the credit that the request gives.
+    /// The channel has no bound of its own: the credit that the request grants bounds its memory.
     pub(crate) fn register(&self, number: u64) -> Option<mpsc::UnboundedReceiver<Event>> {
         let (events, receiver) = mpsc::unbounded_channel();
         lock(&self.pending).as_mut()?.insert(number, events);
         Some(receiver)
     }
 
-    /// Ends what [`Handle::register`] began.
+    /// Removes a request that [`Handle::register`] added.
     pub(crate) fn deregister(&self, number: u64) {
         if let Some(pending) = lock(&self.pending).as_mut() {
             pending.remove(&number);
@@ -99,7 +101,7 @@
         if let Some(pending) = lock(&self.pending).as_ref()
             && let Some(events) = pending.get(&number)
         {
-            // A request that has its answer listens no longer.
+            // An error means that the request has ended.
             let _ = events.send(event);
         }
     }
@@ -116,7 +118,7 @@
     pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Keeps a link to the sidecar `name` open until the router ends.
+/// Keeps a link to the sidecar `name` open until the router ends. Dials again after a loss.
 pub(crate) async fn maintain(
     context: Context,
     router: WeakAddress<Router>,
@@ -143,7 +145,7 @@
             }
             Ok(opened) => {
                 let found = opened.peer.identity.instance;
-                warn!("another instance answers", kv: { wanted: = name.as_str(), found: = found.as_str() });
+                warn!("link refused: another instance replied at the address", kv: { wanted: = name.as_str(), found: = found.as_str() });
             }
             Err(error) => {
                 warn!("cannot open a link", kv: { sidecar: = name.as_str(), error: = error.to_string().as_str() });
@@ -154,11 +156,11 @@
     }
 }
 
-/// Waits out the backoff, or until the instance list changes.
+/// Waits for the backoff, or until the instance list changes.
 async fn wait_before_redial(context: &Context, backoff: Duration) {
     let mut directory = context.directory.clone();
     directory.mark_unchanged();
-    // Either way it is time to try again.
+    // The link is dialled again in both cases.
     let _ = tokio::time::timeout(jittered(backoff), directory.changed()).await;
 }
 
@@ -185,7 +187,7 @@
     heartbeats.abort();
     handle.mark_lost();
     if let Some(router) = router.try_upgrade() {
-        // A router that has ended routes nothing over this link.
+        // An error means that the router has ended; it chooses no server any more.
         let _ = router.send(LinkDown { server, epoch: handle.epoch }).await;
     }
     info!("link lost", kv: { sidecar: = peer.identity.instance.as_str(), reason: = reason.as_str() });
@@ -202,8 +204,8 @@
     }
 }
 
-/// Reads frames until the link ends; says why it did. The link is used from the first load on:
-/// only then has the sidecar accepted it.
+/// Reads frames until the link ends, and returns the reason. The router uses the link from the
+/// first load report on, since that report confirms that the sidecar has accepted the link.
 async fn read(
     context: &Context,
     router: &WeakAddress<Router>,
@@ -222,7 +224,7 @@
         };
         if let Frame::Load(load) = frame {
             exchange.request_if_newer(load.config_version).await;
-            // A router that has ended needs no news.
+            // An error means that the router has ended.
             if let Some(router) = router.try_upgrade() {
                 if !reported {
                     let _ = router.send(LinkUp { server, handle: handle.clone() }).await;
--- a/crates/hooktrestled/src/gateway/router.rs
+++ b/crates/hooktrestled/src/gateway/router.rs
@@ -1,4 +1,7 @@
-//! The actor that chooses backend servers and keeps the links' state.
+//! The actor that chooses a backend server for each attempt. Its input is the configuration in
+//! force, the instance list, link events, and the sidecars' load reports; its state is one entry
+//! for each backend server, with its link and load. It also decides which backend servers get a
+//! link.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,13 +31,14 @@
 use crate::gateway::links;
 use crate::gateway::links::Handle;
 
-/// A backend server as this gateway knows it; kept by name over configurations.
+/// State of one backend server at this gateway. It is found by name, and outlives changes of the
+/// configuration.
 #[derive(Debug)]
 pub(crate) struct Server {
     name: String,
     candidate: Candidate,
     link: watch::Sender<Option<Handle>>,
-    /// The sidecar's clock in its newest report: a ticket's time of issue.
+    /// The sidecar's clock in its newest load report. It is the time of issue of new tickets.
     sidecar_now: Millis,
 }
 
@@ -44,12 +48,12 @@
     context: links::Context,
     servers: Arena<Server>,
     by_name: HashMap<String, Key<Server>>,
-    /// Version of the configuration, and the instance list, that the links follow; `None` when they
-    /// have to be looked at again.
+    /// Version of the configuration, and the instance list, that were last applied to the servers;
+    /// `None` if they have to be applied again.
     applied: Option<(u64, Arc<BTreeMap<String, Instance>>)>,
-    /// Services whose callers are given this gateway, by that list.
+    /// Services whose callers get this gateway as an endpoint, by that list.
     assigned: BTreeSet<String>,
-    /// Services that callers have asked for here although they are given other gateways.
+    /// Services that were requested here although their callers get other gateways.
     requested: BTreeSet<String>,
     link_changes: watch::Sender<u64>,
     address: Option<WeakAddress<Router>>,
@@ -69,21 +73,21 @@
     pub(crate) epoch: u64,
 }
 
-/// A sidecar has reported its load.
+/// A sidecar's load report.
 #[derive(Debug)]
 pub(crate) struct Load {
     pub(crate) server: Key<Server>,
     pub(crate) load: LoadFrame,
 }
 
-/// Choose a backend server for a service, other than those tried.
+/// Chooses a backend server of a service, other than those in `tried`.
 #[derive(Debug)]
 pub(crate) struct Choose {
     pub(crate) service: Arc<str>,
     pub(crate) tried: Vec<Key<Server>>,
 }
 
-/// A chosen backend server. Each choice is to be given back by [`Release`].
+/// A chosen backend server. Each choice counts as a request in flight until [`Release`] is sent.
 #[derive(Debug)]
 pub(crate) struct Choice {
     pub(crate) server: Key<Server>,
@@ -91,7 +95,7 @@
     pub(crate) sidecar_now: Millis,
 }
 
-/// Find the link to one sidecar, by name.
+/// Finds the link to one sidecar, by name.
 #[derive(Debug)]
 pub(crate) struct Find(pub(crate) String);
 
@@ -99,15 +103,15 @@
 #[derive(Debug)]
 pub(crate) struct Release(pub(crate) Key<Server>);
 
-/// Watch the link to a backend server.
+/// Subscribes to the link to a backend server.
 #[derive(Debug)]
 pub(crate) struct WatchLink(pub(crate) Key<Server>);
 
-/// Count the open links to a service's backend servers.
+/// Counts the open links to a service's backend servers.
 #[derive(Debug)]
 pub(crate) struct CountLinked(pub(crate) String);
 
-/// Starts the actor; links are opened as the configuration names backend servers.
+/// Starts the actor. Links are opened when the configuration names new backend servers.
 pub(crate) fn start(context: links::Context) -> Address<Router> {
     let (address, mailbox) = Mailbox::unbounded();
     let router = Router {
@@ -125,7 +129,7 @@
     address
 }
 
-/// A new configuration may be in force.
+/// Applies the configuration and the instance list, if one of them has changed.
 #[derive(Debug)]
 struct Refresh;
 
@@ -152,7 +156,7 @@
         self.context.config.borrow().as_ref().map(|in_force| in_force.config.clone())
     }
 
-    /// Takes over weights and drains, and opens links to backend servers that are new.
+    /// Applies weights and drains, and opens links to new backend servers.
     fn apply_config(&mut self) {
         let Some(config) = self.config() else { return };
         let list = self.context.directory.borrow().clone();
@@ -174,7 +178,7 @@
         }
     }
 
-    /// The services whose callers are given this gateway.
+    /// The services whose callers get this gateway as an endpoint.
     fn assigned_services(
         &self,
         config: &Config,
--- a/crates/hooktrestled/src/gateway/tickets.rs
+++ b/crates/hooktrestled/src/gateway/tickets.rs
@@ -1,18 +1,20 @@
-//! Keys of requests that are not repeatable, as callers hold them.
+//! Keys of requests that are not repeatable. The input is a ticket, the account and service that it
+//! is issued to, and the fleet's shared keys; there is no state. The module decides whether a key
+//! that a caller sends is valid.
 //!
-//! A key is a ticket for one incarnation of one sidecar, signed with the fleet's shared key
-//! together with the account and service that it was given to, so a caller can neither make one
-//! up nor use another's.
+//! A key is a ticket for one incarnation of one sidecar, with a signature over the ticket, the
+//! account and the service. A caller can therefore neither forge a key nor use the key of another
+//! account.
 
 use hooktrestle_core::clock::Millis;
 use hooktrestle_link::auth::Keys;
 use hooktrestle_schema::Ticket;
 use rand::RngExt;
 
-/// Parts of a key, separated by this: sidecar, incarnation, time, nonce, tag.
+/// Separator of the parts of a key: sidecar, incarnation, time, nonce, tag.
 const SEPARATOR: char = '~';
 
-/// A fresh ticket for a sidecar's incarnation.
+/// A new ticket for an incarnation of a sidecar.
 pub(crate) fn new_ticket(sidecar: &str, incarnation: u64, sidecar_now: Millis) -> Ticket {
     Ticket {
         sidecar: sidecar.to_owned(),
@@ -22,14 +24,14 @@
     }
 }
 
-/// The key that a caller gets for a ticket.
+/// The signed key for a ticket, as callers get it.
 pub(crate) fn encode_key(keys: &Keys, account: &str, service: &str, ticket: &Ticket) -> String {
     let text = text(ticket);
     let tag = keys.sign(&signed_text(account, service, &text));
     format!("{text}{SEPARATOR}{tag}")
 }
 
-/// The ticket behind a key; `None` unless this fleet gave it to this account and service.
+/// The ticket in a key; `None` unless this fleet issued it to this account and service.
 pub(crate) fn decode_key(keys: &Keys, account: &str, service: &str, key: &str) -> Option<Ticket> {
     let (text, tag) = key.rsplit_once(SEPARATOR)?;
     if !keys.verify(&signed_text(account, service, text), tag) {
--- a/crates/hooktrestled/src/lib.rs
+++ b/crates/hooktrestled/src/lib.rs
@@ -1,14 +1,17 @@
-//! The daemon of hooktrestle, as a library: what `hooktrestled` runs.
+//! The gateway and sidecar processes of the `hooktrestled` daemon, as a library. Their input is a
+//! settings file, HTTP requests, frames on links, and the platform's tables and instance list;
+//! their state is connections, tasks and the configuration in force. They make no decisions of
+//! their own: they pass events to the state machines of `hooktrestle-core` and carry out the
+//! returned actions.
 //!
-//! - [`settings`]: the INI file, checked.
-//! - [`gateway`]: the process on an entry instance: callers' HTTP in, links to sidecars out.
-//! - [`sidecar`]: the process in a backend server's slot: links in, the backend server behind.
-//! - [`config_sync`]: keeps a process at the newest accepted configuration.
+//! - [`settings`]: reads and checks the INI file.
+//! - [`gateway`]: the process on an entry instance: HTTP from callers, links to sidecars.
+//! - [`sidecar`]: the process beside a backend server: links from gateways, requests to the backend
+//!   server.
+//! - [`config_sync`]: follows the newest accepted configuration.
 //! - [`acceptor`]: turns the operators' edits into the next configuration; runs in gateways.
-//! - [`directory`]: the platform's instance list, polled.
-//!
-//! The processes decide nothing by themselves: they feed the machines of `hooktrestle-core` and
-//! carry out what those say.
+//! - [`directory`]: polls the platform's instance list.
+//! - [`headers`]: names of the callers' HTTP headers, and which headers are forwarded.
 
 pub mod acceptor;
 mod admin;
--- a/crates/hooktrestled/src/main.rs
+++ b/crates/hooktrestled/src/main.rs
@@ -1,4 +1,6 @@
-//! `hooktrestled`: the daemon.
+//! The `hooktrestled` binary. It reads a settings file and runs a gateway or a sidecar until
+//! SIGTERM or SIGINT. Its exit code is 2 for missing or invalid settings, 1 if it could not start
+//! or if requests were still in flight when `stop_within_ms` had passed, and 0 otherwise.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,11 +21,11 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The daemon of hooktrestle: a gateway or a sidecar, as its settings say.
+        /// The daemon of hooktrestle: a gateway or a sidecar, according to its settings.
         cmd hooktrestled {
             /// INI file with the settings.
             optional --settings file: PathBuf
-            /// Only checks the settings.
+            /// Checks the settings and exits.
             optional --check
             /// Prints the version.
             optional --version
@@ -77,7 +79,7 @@
         warn!("stopped with requests in flight", kv: { cut_off });
         return Ok(ExitCode::FAILURE);
     }
-    info!("stopped; nothing was cut off");
+    info!("stopped; all requests had ended");
     Ok(ExitCode::SUCCESS)
 }
 
