--- a/crates/hooktrestled/src/acceptor.rs
+++ b/crates/hooktrestled/src/acceptor.rs
@@ -1,7 +1,10 @@
-//! Turns the operators' edits into the next configuration.
+//! Accepts the operators' edits as the next configuration. Its input is the rows and the head row
+//! of the store; its state is the newest revision without effect. [`acceptance::merge`] decides
+//! which edits take effect; the acceptor stores the result.
 //!
-//! Every gateway runs one and none is special: the transaction is conditional on the head row, so
-//! of several that try at once one wins and the others start over from what it wrote.
+//! Every gateway runs an acceptor, without a leader. The transaction is conditional on the head
+//! row, so one of several concurrent acceptors commits, and the others start again from the new
+//! head.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,22 +38,22 @@
 use crate::directory;
 use crate::poll::jittered;
 
-/// What one look at the rows came to.
+/// Result of one poll of the rows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Accepted {
-    /// Nothing was edited, or nothing that changes anything.
+    /// There are no edits, or none that changes the configuration.
     Nothing,
-    /// This version is in force from now on.
+    /// This version was accepted, and is in force from now on.
     Version(u64),
-    /// Somebody else was faster.
+    /// Another acceptor has changed the head row first.
     Raced,
 }
 
-/// Gateways that look for edits as often as `poll` says; more of them look less often each, so that
-/// the table is asked no more often by a large fleet than by a small one.
+/// Number of gateways up to which each polls at the interval of the settings. In a larger fleet,
+/// the interval grows with the number, so that the load on the table does not.
 const GATEWAYS_AT_FULL_POLL_RATE: u32 = 8;
 
-/// Looks for edits for ever.
+/// Polls for edits and accepts them. Returns only if the [`ConfigSync`] actor has ended.
 pub async fn run(
     platform: Platform,
     sync_task: Address<ConfigSync>,
@@ -78,11 +81,11 @@
     }
 }
 
-/// Looks for edits, and accepts them.
+/// Accepts edits.
 #[derive(Debug)]
 pub struct Acceptor {
     platform: Platform,
-    /// Edits up to this revision changed nothing.
+    /// Edits up to this revision had no effect.
     seen_revision: u64,
 }
 
@@ -95,17 +98,17 @@
 }
 
 impl Acceptor {
-    /// One that has seen nothing.
+    /// An acceptor that has read no edits yet.
     pub fn new(platform: Platform) -> Acceptor {
         Acceptor { platform, seen_revision: 0 }
     }
 
-    /// Looks once.
+    /// Polls the rows once, and accepts the edits.
     ///
     /// # Errors
     ///
-    /// An outage. If it hit the transaction itself, the edits may have been accepted: the next
-    /// look finds out.
+    /// The store cannot be used. If the transaction itself failed, the edits may have been
+    /// accepted; the next poll detects that.
     pub async fn accept(&mut self) -> Result<Accepted> {
         let head = read_head(&self.platform).await?;
         let since = head.as_ref().map_or(0, |(head, _)| head.rows_revision);
@@ -143,8 +146,8 @@
         }
     }
 
-    /// All edits since the head, and those that it left out: what was wrong with them may have
-    /// been mended in another row.
+    /// All edits since the head, and those that the head left out: their fault may have been
+    /// corrected in another row.
     async fn edits(&self, since: u64, newest: &[TableRow]) -> Result<Vec<TableRow>> {
         let mut edits: BTreeMap<String, TableRow> = BTreeMap::new();
         for error in self.platform.rows(ROW_ERRORS, 0).await?.rows {
@@ -191,15 +194,15 @@
     async fn store(&self, snapshot: &Snapshot, rows_revision: u64) -> Result<ConfigHead> {
         let bytes = serde_json::to_vec(snapshot)?;
         let sha256_hex = hex::encode(Sha256::digest(&bytes));
-        // Two that race on one version write objects of different names, so neither spoils the
-        // other's.
+        // Concurrent acceptors of one version write objects under different keys, so neither
+        // overwrites the object of the other.
         let object_key = format!("config/{}-{}", snapshot.version, &sha256_hex[..16]);
         self.platform.put_object(&object_key, bytes).await?;
         Ok(ConfigHead { version: snapshot.version, object_key, sha256_hex, rows_revision })
     }
 }
 
-/// Writes that bring the error rows into line: new faults in, mended ones out.
+/// Writes that update the error rows: new faults are added, corrected faults are deleted.
 fn error_writes(outcome: &Outcome, edits: &[TableRow], known: &[TableRow]) -> Vec<RowWrite> {
     let mut writes = Vec::new();
     let table = || ROW_ERRORS.to_owned();
--- a/crates/hooktrestled/src/admin.rs
+++ b/crates/hooktrestled/src/admin.rs
@@ -1,4 +1,5 @@
-//! Health, readiness and metrics of a process, for operators.
+//! HTTP server with health, readiness and metrics of a process, for operators. The input is GET
+//! requests; the state is the [`Observe`] object of the process, which decides on readiness.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -19,14 +20,14 @@
 /// Media type of the metrics.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// One figure.
+/// One value of a gauge.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
-    /// Name without the product's prefix; ends with its unit.
+    /// Name without the prefix `hooktrestle`; it ends with the unit.
     pub(crate) name: &'static str,
-    /// What it says.
+    /// Help text of the metric.
     pub(crate) help: &'static str,
-    /// The figure.
+    /// Current value.
     pub(crate) value: i64,
 }
 
@@ -41,22 +42,22 @@
     }
 }
 
-/// What a process says of itself now.
+/// Readiness and gauges of a process at one moment.
 #[derive(Clone, Debug)]
 pub(crate) struct Observed {
-    /// Whether it takes new work.
+    /// Whether the process accepts new requests.
     pub(crate) is_ready: bool,
-    /// Its figures.
+    /// The gauges of the process.
     pub(crate) samples: Vec<Sample>,
 }
 
 /// A process that can be observed.
 pub(crate) trait Observe: Clone + Send + Sync + 'static {
-    /// Looks at it now.
+    /// The current state.
     fn observe(&self) -> impl Future<Output = Observed> + Send;
 }
 
-/// Starts the server; it ends with the handle's abort.
+/// Starts the server. Aborting the handle stops it.
 pub(crate) async fn start<O: Observe>(
     listen: &str,
     observe: O,
@@ -100,7 +101,7 @@
         registry.register(sample.name, sample.help, gauge);
     }
     let mut text = String::new();
-    // Writing to memory does not fail.
+    // Writing to a `String` does not fail.
     let _ = encode(&mut text, &registry);
     text
 }
--- a/crates/hooktrestled/src/config_exchange.rs
+++ b/crates/hooktrestled/src/config_exchange.rs
@@ -1,8 +1,11 @@
-//! Hands accepted configurations on from peer to peer.
+//! Transfers accepted configurations between the two processes of a link. Its input is the versions
+//! that the peer reports and the frames of the transfer; its state is the version requested last
+//! and the parts received so far. It decides when to request a snapshot, and when one is complete.
 //!
-//! Every heartbeat and load report carries its sender's version. Whoever is behind asks, and gets
-//! the snapshot in parts over the same link; so a version that one process has reaches all that are
-//! linked to it within a heartbeat, and all others through them, whether the store is up or not.
+//! Each heartbeat and load report contains the sender's version. A process with an older version
+//! requests the snapshot and receives it in parts over the same link. A version that one process
+//! has therefore reaches all processes linked to it within a heartbeat, and the others through
+//! these, also while the store is down.
 
 use hooktrestle_link::Sender;
 use hooktrestle_schema::ConfigAskFrame;
@@ -19,10 +22,10 @@
 /// Bytes of a snapshot in one frame.
 const PART_BYTES: usize = 64 * 1024;
 
-/// Largest snapshot that is put together; one at the size aimed at is about 1 MB.
+/// Maximum size of a received snapshot. A snapshot for a fleet of the target size is about 1 MB.
 const SNAPSHOT_LIMIT_BYTES: usize = 64 << 20;
 
-/// One link's side of it.
+/// State of the transfers over one link, at one end.
 #[derive(Debug)]
 pub(crate) struct ConfigExchange {
     config: config_sync::Watch,
@@ -32,7 +35,7 @@
     partial: PartialSnapshot,
 }
 
-/// The parts of a snapshot so far.
+/// The parts of a snapshot received so far.
 #[derive(Debug, Default)]
 struct PartialSnapshot {
     version: u64,
@@ -55,7 +58,7 @@
         }
     }
 
-    /// The peer has this version: asks for it, once, if it is newer.
+    /// Handles the peer's version: requests the snapshot if it is newer and not yet requested.
     pub(crate) async fn request_if_newer(&mut self, version: u64) {
         let have = config_sync::version(&self.config);
         let Some(have_version) = have else { return };
@@ -64,11 +67,11 @@
         }
         self.requested_version = version;
         let ask = Frame::ConfigAsk(ConfigAskFrame { have_version });
-        // A link that is lost asks again once it is back.
+        // An error means that the link is lost. The next link requests the snapshot again.
         let _ = self.sender.send(&ask, &[]).await;
     }
 
-    /// The peer asks for a newer version than it has.
+    /// Handles a request of the peer: sends the snapshot in force if it is newer than the peer's.
     pub(crate) async fn send_snapshot(&self, ask: &ConfigAskFrame) {
         let Some(in_force) = self.in_force() else { return };
         let version = in_force.config.version;
@@ -77,11 +80,11 @@
         }
         let Ok(bytes) = serde_json::to_vec(&*in_force.snapshot) else { return };
         let sender = self.sender.clone();
-        // In the background, so that a large snapshot does not hold up the reading of this link.
+        // A task of its own, so that a large snapshot does not delay reading from this link.
         tokio::spawn(async move { send_parts(&sender, version, &bytes).await });
     }
 
-    /// A part has arrived. A snapshot that is whole goes to the keeper.
+    /// Handles a part of a snapshot. A complete snapshot is sent to [`ConfigSync`].
     pub(crate) async fn add_part(&mut self, part: &ConfigPartFrame, payload: &[u8]) {
         if part.part == 0 {
             self.partial = PartialSnapshot { version: part.version, ..PartialSnapshot::default() };
@@ -99,10 +102,10 @@
         }
         let complete = std::mem::take(&mut self.partial);
         match serde_json::from_slice(&complete.bytes) {
-            // A keeper that has ended needs no news.
+            // An error means that `ConfigSync` has ended.
             Ok(snapshot) => drop(self.sync_task.send(PeerSnapshot(snapshot)).await),
             Err(error) => {
-                warn!("a peer handed on a malformed configuration", kv: { error: = error.to_string().as_str() });
+                warn!("malformed configuration from a peer", kv: { error: = error.to_string().as_str() });
             }
         }
     }
--- a/crates/hooktrestled/src/config_sync.rs
+++ b/crates/hooktrestled/src/config_sync.rs
@@ -1,11 +1,14 @@
-//! Keeps a process at the newest accepted configuration.
+//! An actor that follows the newest accepted configuration. Its input is the head row, which it
+//! polls, and the snapshots that peers send; its state is the configuration in force. It decides
+//! which configuration is published in the process. The published version never decreases.
 //!
-//! An actor looks at the head row now and then; peers that are ahead hand their snapshot on over
-//! the links (see [`crate::config_exchange`]), so that an outage right after an acceptance does not keep it
-//! from the fleet. What is published only ever grows.
+//! Peers with a newer version send their snapshot over the links (see [`crate::config_exchange`]),
+//! so that an outage of the store right after an acceptance does not withhold the configuration
+//! from the fleet.
 //!
-//! A process that has just started takes its first configuration from the table only: peers that
-//! are cut off could hand it one that the process before it had left behind.
+//! A process that has just started reads its first configuration from the store only. A peer
+//! without access to the store could send a version older than the one that the previous process of
+//! this instance had in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,16 +36,16 @@
 
 use crate::poll::jittered;
 
-/// A configuration as published: the arenas, and the snapshot that they were built from.
+/// A published configuration.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// Checked, in arenas.
+    /// The checked configuration, in arenas.
     pub config: Arc<Config>,
-    /// As accepted.
+    /// The accepted snapshot that `config` was built from.
     pub snapshot: Arc<Snapshot>,
 }
 
-/// The configuration in force here; `None` until the first is known.
+/// Receiver of the configuration in force; `None` before the first.
 pub type Watch = watch::Receiver<Option<InForce>>;
 
 /// The version in force; `None` before the first.
@@ -50,22 +53,22 @@
     watch.borrow().as_ref().map(|in_force| in_force.config.version)
 }
 
-/// The actor.
+/// The actor that follows the configuration.
 #[derive(Debug, xtra::Actor)]
 pub struct ConfigSync {
     platform: Platform,
     published: watch::Sender<Option<InForce>>,
 }
 
-/// Look at the head row now.
+/// Polls the head row once.
 #[derive(Clone, Copy, Debug)]
 pub struct Poll;
 
-/// A peer has handed on an accepted snapshot.
+/// An accepted snapshot that a peer sent.
 #[derive(Clone, Debug)]
 pub struct PeerSnapshot(pub Snapshot);
 
-/// Starts the actor and its polling; it ends with the last address.
+/// Starts the actor and its polling. Both end when the last address is dropped.
 pub fn start(platform: Platform, poll: Duration) -> (Address<ConfigSync>, Watch) {
     let (published, watch) = watch::channel(None);
     let sync_task = ConfigSync { platform, published };
@@ -83,29 +86,37 @@
     (address, watch)
 }
 
-/// Reads the head row; `None` if nothing has been accepted yet.
+/// Reads the head row and its version; `None` if no configuration has been accepted yet.
 ///
 /// # Errors
 ///
-/// An outage, or a row that is no head.
+/// The table cannot be read, or the row is malformed.
 pub async fn read_head(platform: &Platform) -> Result<Option<(ConfigHead, u64)>> {
     let Some(row) = platform.row(CONFIG, HEAD).await? else { return Ok(None) };
     let head = serde_json::from_value(row.value).wrap_err("the head row is malformed")?;
     Ok(Some((head, row.version)))
 }
 
-/// Reads the snapshot behind a head row, and checks that it is that one.
+/// Reads the snapshot that a head row names, and checks its digest and version.
 ///
 /// # Errors
 ///
-/// An outage, or an object that is missing or not the one that was accepted.
+/// The object cannot be read, is missing, or differs from the accepted one.
 pub async fn read_snapshot(platform: &Platform, head: &ConfigHead) -> Result<Snapshot> {
     let bytes = platform.object(&head.object_key).await?;
     let bytes = bytes.ok_or_else(|| eyre!("object {} is missing", head.object_key))?;
     let digest = hex::encode(Sha256::digest(&bytes));
-    ensure!(digest == head.sha256_hex, "object {} is not the accepted one", head.object_key);
+    ensure!(
+        digest == head.sha256_hex,
+        "object {}: its SHA-256 differs from the head row's",
+        head.object_key
+    );
     let snapshot: Snapshot = serde_json::from_slice(&bytes)?;
-    ensure!(snapshot.version == head.version, "object {} has another version", head.object_key);
+    ensure!(
+        snapshot.version == head.version,
+        "object {}: its version differs from the head row's",
+        head.object_key
+    );
     Ok(snapshot)
 }
 
@@ -144,7 +155,7 @@
 
     async fn handle(&mut self, _: Poll, _: &mut Context<Self>) {
         if let Err(error) = self.fetch_newest().await {
-            warn!("cannot look for a new configuration", kv: { error: = error.to_string().as_str() });
+            warn!("cannot poll the configuration", kv: { error: = error.to_string().as_str() });
         }
     }
 }
@@ -157,7 +168,7 @@
             return;
         }
         if let Err(error) = self.publish(offered.0) {
-            warn!("a peer handed on a bad configuration", kv: { error: = error.to_string().as_str() });
+            warn!("invalid configuration from a peer", kv: { error: = error.to_string().as_str() });
         }
     }
 }
--- a/crates/hooktrestled/src/directory.rs
+++ b/crates/hooktrestled/src/directory.rs
@@ -1,4 +1,6 @@
-//! The platform's instance list, polled. It lags; what an instance says of itself goes before it.
+//! Polls the platform's instance list. The input is the list; the state is the newest list that
+//! could be read, by name. The list lags behind: what an instance reports about itself takes
+//! precedence.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,10 +18,10 @@
 
 use crate::poll::jittered;
 
-/// The newest list that could be read, by name.
+/// Receiver of the newest list that could be read, by name.
 pub type Watch = watch::Receiver<Arc<BTreeMap<String, Instance>>>;
 
-/// How many live gateways the list names.
+/// Number of live gateways in the list.
 pub(crate) fn live_gateway_count(list: &BTreeMap<String, Instance>) -> usize {
     let is_live = |instance: &&Instance| {
         instance.role == InstanceRole::Gateway && instance.state == InstanceState::Live
@@ -27,12 +29,12 @@
     list.values().filter(is_live).count()
 }
 
-/// Where an instance listens, as the list says.
+/// The address of an instance, by the list.
 pub(crate) fn address(watch: &Watch, name: &str) -> Option<SocketAddr> {
     watch.borrow().get(name)?.address.parse().ok()
 }
 
-/// Starts polling; it ends when nobody watches any more.
+/// Starts polling. It ends when the last receiver is dropped.
 pub fn start(platform: Platform, poll: Duration) -> Watch {
     let (published, watch) = watch::channel(Arc::default());
     tokio::spawn(async move {
@@ -44,7 +46,8 @@
                     known = tag;
                     publish(&published, instances);
                 }
-                // The last list stays: an outage of the list is no news about instances.
+                // The last list stays in use: an outage of the list gives no information on
+                // instances.
                 Err(error) => {
                     warn!("cannot read the instance list", kv: { error: = error.to_string().as_str() })
                 }
--- a/crates/hooktrestled/src/drain.rs
+++ b/crates/hooktrestled/src/drain.rs
@@ -1,13 +1,14 @@
-//! Waiting for requests in flight to end.
+//! The wait for requests in flight to end. The input is their number and a time limit; there is no
+//! state.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// Waits until the count is zero; returns what it was if `within` passed first.
+/// Waits until the count is zero, for at most `within`. Returns the count at the end.
 pub(crate) async fn until_idle(mut count: watch::Receiver<usize>, within: Duration) -> usize {
     let waiting = async {
-        // An error means that whoever counted has ended: then nothing is in flight.
+        // An error means that the counting process has ended: no request is in flight.
         let _ = count.wait_for(|count| *count == 0).await;
     };
     match tokio::time::timeout(within, waiting).await {
--- a/crates/hooktrestled/src/process.rs
+++ b/crates/hooktrestled/src/process.rs
@@ -1,4 +1,6 @@
-//! What every process of the daemon begins with, whatever its role.
+//! Start of a process, common to both roles. The input is the settings; the result is the listener,
+//! the platform client, the instance's identity, and running tasks that follow the configuration
+//! and the instance list. It decides nothing but the random incarnation.
 
 use std::net::SocketAddr;
 
@@ -18,7 +20,7 @@
 use crate::settings;
 use crate::traces::Traces;
 
-/// A process that listens, and follows the configuration and the instance list.
+/// The parts that both roles use.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) platform: Platform,
@@ -33,7 +35,8 @@
 }
 
 impl Process {
-    /// Starts what all roles share.
+    /// Binds the listener, and starts the tasks that follow the configuration and the instance
+    /// list.
     ///
     /// # Errors
     ///
--- a/crates/hooktrestled/src/settings.rs
+++ b/crates/hooktrestled/src/settings.rs
@@ -1,4 +1,5 @@
-//! The daemon's settings: an INI file, checked against the schema.
+//! Reads the daemon's settings. The input is an INI file; there is no state. The file is checked
+//! against the schema, and each fault is reported with its line and the allowed range.
 
 use std::fmt;
 use std::fs;
@@ -14,7 +15,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// What is wrong with a settings file, one line each.
+/// The faults in a settings file, one line each.
 #[derive(Debug)]
 pub struct SettingsError {
     file: String,
@@ -46,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// Every fault in the file, with its line and what is allowed there.
+/// All faults in the file, with their lines and the allowed values.
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let file = path.display().to_string();
     match fs::read_to_string(path) {
@@ -76,7 +77,7 @@
     }
 }
 
-/// The longest wait for one answer of the platform, and the other spans, as durations.
+/// A setting in milliseconds as a duration.
 pub(crate) fn millis(value: u64) -> Duration {
     Duration::from_millis(value)
 }
@@ -120,7 +121,8 @@
         let Some(name) = name else {
             if let Some((key, _)) = properties.iter().next() {
                 let line = line_of(text, None, key);
-                faults.push(Fault { line, message: format!("`{key}` stands before any section") });
+                faults
+                    .push(Fault { line, message: format!("`{key}` is before the first section") });
             }
             continue;
         };
@@ -146,7 +148,7 @@
     for (key, value) in properties.iter() {
         let parsed = match known.iter().find(|field| field.name == key) {
             Some(field) => range::parse(field, value).map_err(|error| error.to_string()),
-            // Kept as text: the check below knows what to say of an unknown name.
+            // Kept as text: the check below reports the unknown name.
             None => Ok(Value::from(value)),
         };
         match parsed {
@@ -158,13 +160,14 @@
         }
     }
     if let Err(errors) = range::check(&definition, &section) {
-        let told: Vec<String> = faults.iter().map(|fault| fault.message.clone()).collect();
+        let reported: Vec<String> = faults.iter().map(|fault| fault.message.clone()).collect();
         for error in errors {
             let line = line_of(text, Some(name), error.field());
             let message = format!("[{name}] {error}");
-            let twice =
-                told.iter().any(|told| told.starts_with(&format!("[{name}] {}:", error.field())));
-            if !twice {
+            let duplicate = reported
+                .iter()
+                .any(|reported| reported.starts_with(&format!("[{name}] {}:", error.field())));
+            if !duplicate {
                 faults.push(Fault { line, message });
             }
         }
@@ -227,7 +230,7 @@
     format!("{}{}Settings", first.unwrap_or_default(), letters.as_str())
 }
 
-/// Line of a key, counted from 1; the library does not keep it.
+/// Line of a key, counted from 1. The INI library does not record it.
 fn line_of(text: &str, section: Option<&str>, key: &str) -> Option<usize> {
     let mut current = None;
     for (index, line) in text.lines().enumerate() {
@@ -235,8 +238,8 @@
         if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
             current = Some(name.trim());
         }
-        let found = line.split_once(['=', ':']).map(|(found, _)| found.trim());
-        if current == section && found == Some(key) {
+        let line_key = line.split_once(['=', ':']).map(|(line_key, _)| line_key.trim());
+        if current == section && line_key == Some(key) {
             return Some(index + 1);
         }
     }
--- a/crates/hooktrestled/src/traces.rs
+++ b/crates/hooktrestled/src/traces.rs
@@ -1,4 +1,6 @@
-//! Traces: a span for each hop, joined by W3C `traceparent`, sent by OTLP.
+//! Tracing: a span for each hop of a request, linked by W3C `traceparent` and exported by OTLP. The
+//! input is the settings and the header of the previous hop; the state is the spans not exported
+//! yet.
 
 use std::collections::HashMap;
 
@@ -24,21 +26,23 @@
 /// Header that carries a trace from hop to hop.
 pub(crate) const TRACEPARENT: &str = "traceparent";
 
-/// Makes spans; clones share it. Spans that wait are sent when the last is dropped.
+/// Creates and exports spans. Clones share the exporter; it exports the remaining spans when the
+/// last clone is dropped.
 #[derive(Clone, Debug)]
 pub(crate) struct Traces {
     tracer: SdkTracer,
     provider: SdkTracerProvider,
 }
 
-/// One hop of a request; it ends when this is dropped.
+/// The span of one hop of a request. It ends when this is dropped.
 #[derive(Debug)]
 pub(crate) struct Hop {
     context: Context,
 }
 
 impl Traces {
-    /// Traces of a process; without settings, spans are made to keep traces joined, and not sent.
+    /// Tracing of a process. Without settings, spans are created to propagate `traceparent`, but
+    /// not exported.
     ///
     /// # Errors
     ///
@@ -58,8 +62,8 @@
                     .with_endpoint(&settings.otlp_url)
                     .build()
                     .wrap_err("[traces] otlp_url")?;
-                let share = f64::from(settings.sample_percent) / 100.0;
-                let sampler = Sampler::TraceIdRatioBased(share);
+                let fraction = f64::from(settings.sample_percent) / 100.0;
+                let sampler = Sampler::TraceIdRatioBased(fraction);
                 builder
                     .with_sampler(Sampler::ParentBased(Box::new(sampler)))
                     .with_batch_exporter(exporter)
@@ -69,7 +73,7 @@
         Ok(Traces { tracer: provider.tracer("hooktrestled"), provider })
     }
 
-    /// Begins a hop; `traceparent` is the hop before, or empty.
+    /// Starts the span of a hop; `traceparent` is that of the previous hop, or empty.
     pub(crate) fn hop(
         &self,
         name: &'static str,
@@ -84,21 +88,21 @@
         Hop { context: Context::new().with_span(span) }
     }
 
-    /// Sends what waits; a collector that is down costs nothing but its spans.
+    /// Exports the remaining spans. If the collector is down, only these spans are lost.
     pub(crate) fn flush(&self) {
         let _ = self.provider.force_flush();
     }
 }
 
 impl Hop {
-    /// What the next hop is told.
+    /// The `traceparent` header for the next hop.
     pub(crate) fn traceparent(&self) -> String {
         let mut carrier = HashMap::new();
         TraceContextPropagator::new().inject_context(&self.context, &mut carrier);
         carrier.remove(TRACEPARENT).unwrap_or_default()
     }
 
-    /// Adds a fact that is known only now.
+    /// Adds an attribute that was not known at the start of the span.
     pub(crate) fn add_attribute(&self, key: &'static str, value: String) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
--- a/crates/hooktrestled/tests/processes.rs
+++ b/crates/hooktrestled/tests/processes.rs
@@ -1,4 +1,6 @@
-//! The path as separate processes: daemons started, killed and stopped as an operator would.
+//! A gateway and sidecars as separate processes, started and stopped as operators do it. The tests
+//! guard against faults that an embedded fleet does not show: a daemon that cannot start from its
+//! settings file, and requests that are truncated when a daemon is terminated.
 
 use std::fs;
 use std::io::BufRead;
@@ -32,14 +34,14 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
+        // An error means that the daemon has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.settings);
     }
 }
 
-fn start(fleet: &Fleet, name: &str, role: &str, more: &str) -> Daemon {
+fn start(fleet: &Fleet, name: &str, role: &str, extra_sections: &str) -> Daemon {
     let url = fleet.fake.url();
     let instances_url = fleet.fake.instances_url();
     let text = format!(
@@ -47,9 +49,9 @@
          stop_within_ms = 20000\n\
          [platform]\ntable_url = {url}\nobject_url = {url}\ninstances_url = {instances_url}\n\
          poll_ms = 100\n[links]\nkeys = process-key\nheartbeat_ms = 50\n\
-         [gateway]\nkeep_endpoints_ms = 200\n{more}"
+         [gateway]\nkeep_endpoints_ms = 200\n{extra_sections}"
     );
-    // Tests of this program run at once: only the platform's port tells their files apart.
+    // The tests of this program run concurrently. The platform's port makes the file names unique.
     let port = url.rsplit(':').next().unwrap_or_default();
     let file = format!("hooktrestled-{}-{port}-{name}.ini", std::process::id());
     let settings = std::env::temp_dir().join(file);
@@ -72,17 +74,17 @@
     Daemon { child, address, settings }
 }
 
-/// Reads the daemon's log up to the line that says where it listens; the rest is read and dropped.
+/// Reads the daemon's log up to the line with its address. The remaining log is read and dropped.
 fn read_address(child: &mut Child) -> SocketAddr {
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
     let address = lines
         .by_ref()
         .map_while(Result::ok)
         .find_map(|line| {
-            let (_, rest) = line.split_once("address=")?;
-            rest.split_whitespace().next()?.parse().ok()
+            let (_, after) = line.split_once("address=")?;
+            after.split_whitespace().next()?.parse().ok()
         })
-        .expect("the daemon says where it listens");
+        .expect("no address in the log of the daemon");
     std::thread::spawn(move || lines.for_each(drop));
     address
 }
@@ -91,7 +93,7 @@
     let mut rows = vec![
         ("data_centre:dar-1".to_owned(), json!({ "region": "dar" })),
         ("service:hints".to_owned(), json!({ "kind": "model" })),
-        // Calls are repeated until the daemons have found each other, and each counts.
+        // Requests are retried until the daemons have links, and each counts against the limit.
         (
             "account:solver".to_owned(),
             json!({ "key_sha256_hex": key_sha256_hex(KEY), "limit_requests_per_s": 1_000_000 }),
@@ -105,7 +107,7 @@
     fleet.edit(&rows).await.unwrap();
 }
 
-/// Calls until the daemons have found each other.
+/// Sends requests until the gateway has a link to a sidecar that is ready.
 async fn first_answer(caller: &Caller) {
     loop {
         let outcome = finish(caller.chat("hints", "warm-up", 1, true)).await.unwrap();
@@ -138,6 +140,8 @@
     assert!(text.ends_with("data: [DONE]\n\n"));
 }
 
+/// Guards against answers truncated by the termination of a sidecar: it must finish the requests in
+/// flight before it exits, and exit with 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_terminated_sidecar_ends_what_runs_and_exits_with_0() {
     let fleet = Fleet::start().await.unwrap();
@@ -147,7 +151,7 @@
     let gateway = start(&fleet, "entry-1", "gateway", "");
     hints(&fleet, &["hints-1", "hints-2"]).await;
     let caller = Caller::new(&format!("http://{}", gateway.address), KEY).unwrap();
-    // Both workers: one whose sidecar has no configuration yet refuses what it is sent.
+    // Both engines must have answered: a sidecar without a configuration refuses its requests.
     while [&one, &two].iter().any(|engine| engine.ledger.entry("warm-up").finished == 0) {
         first_answer(&caller).await;
     }
@@ -176,6 +180,8 @@
     assert!(status.success(), "{status}");
 }
 
+/// Guards against a daemon that starts with a wrong setting: a misspelt name and a value out of
+/// range must be reported with their lines.
 #[test]
 fn a_bad_settings_file_is_refused_with_file_line_and_range() {
     let path = std::env::temp_dir().join(format!("hooktrestled-{}-bad.ini", std::process::id()));
@@ -190,12 +196,12 @@
         .output()
         .unwrap();
     fs::remove_file(&path).unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains(":6: [instance] stop_within: is not a known name"), "{said}");
-    assert!(said.contains("did you mean `stop_within_ms`?"), "{said}");
+    let message = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{message}");
+    assert!(message.contains(":6: [instance] stop_within: is not a known name"), "{message}");
+    assert!(message.contains("did you mean `stop_within_ms`?"), "{message}");
     assert!(
-        said.contains(":11: [platform] poll_ms: 1 given; it must be a whole number from 50"),
-        "{said}"
+        message.contains(":11: [platform] poll_ms: 1 given; it must be a whole number from 50"),
+        "{message}"
     );
 }
--- a/crates/hooktrestled/tests/settings.rs
+++ b/crates/hooktrestled/tests/settings.rs
@@ -1,4 +1,6 @@
-//! Settings files: any text is read or refused with its place, and never a panic.
+//! Parsing of settings files. Operators write these files by hand, so any text may arrive. The
+//! tests guard against a panic of the parser, and against errors without the place and the allowed
+//! values.
 
 use hooktrestled::settings;
 use proptest::prelude::ProptestConfig;
