--- a/crates/hooktrestled/src/gateway.rs
+++ b/crates/hooktrestled/src/gateway.rs
@@ -1,12 +1,15 @@
-//! The process on an entry instance: callers' HTTP in, links to sidecars out.
+//! The gateway process: receives HTTP requests from callers and sends them over links to sidecars.
+//! Its state is the configuration in force, the instance list, the links with the sidecars' load,
+//! the accounts' limits and the retry budget. It decides when the gateway is ready and when it has
+//! left.
 //!
-//! - [`http`]: what callers see.
+//! - [`http`]: the HTTP interface for callers.
 //! - [`drive`]: one request, from its first attempt to its final answer.
-//! - [`router`]: the actor that chooses backend servers and keeps the links' state.
+//! - [`router`]: the actor that chooses backend servers and holds the state of the links.
 //! - [`links`]: keeps one link to each sidecar open.
-//! - [`endpoints`]: which gateways callers should use.
+//! - [`endpoints`]: the list of gateways that callers of a service get.
 //! - [`tickets`]: the keys of requests that are not repeatable.
-//! - [`body`]: a caller's body, kept for another attempt while it is small.
+//! - [`body`]: a request body, buffered for retries while it is small.
 
 mod body;
 mod drive;
@@ -37,57 +40,57 @@
 
 use crate::acceptor;
 use crate::admin;
-use crate::admin::Figure;
 use crate::admin::Observe;
 use crate::admin::Observed;
-use crate::config_keeper;
+use crate::admin::Sample;
+use crate::config_sync;
 use crate::directory;
 use crate::drain;
 use crate::process::Process;
 use crate::settings;
 use crate::traces::Traces;
 
-/// What every request at a gateway needs; clones share it.
+/// State that all requests at a gateway share. Clones refer to the same state.
 #[derive(Clone, Debug)]
 pub(crate) struct Shared {
     pub(crate) identity: Arc<Identity>,
     pub(crate) data_centre: Arc<str>,
     pub(crate) keys: hooktrestle_link::auth::Keys,
     pub(crate) settings: Arc<GatewaySettings>,
-    pub(crate) config: config_keeper::Watch,
+    pub(crate) config: config_sync::Watch,
     pub(crate) directory: directory::Watch,
     pub(crate) router: Address<router::Router>,
-    pub(crate) numbers: Arc<RequestNumbers>,
-    pub(crate) budget: Arc<Mutex<RetryBudget>>,
+    pub(crate) request_numbers: Arc<RequestNumbers>,
+    pub(crate) retry_budget: Arc<Mutex<RetryBudget>>,
     pub(crate) limiter: Arc<Mutex<Limiter>>,
     pub(crate) clock: ProcessClock,
     pub(crate) traces: Traces,
-    pub(crate) open: watch::Sender<usize>,
+    pub(crate) in_flight: watch::Sender<usize>,
     pub(crate) leaving: watch::Sender<bool>,
 }
 
 impl Observe for Shared {
     async fn observe(&self) -> Observed {
-        let version = config_keeper::version(&self.config);
-        let open = *self.open.borrow();
-        let figures = vec![
-            Figure::config_version(version),
-            Figure {
+        let version = config_sync::version(&self.config);
+        let in_flight = *self.in_flight.borrow();
+        let samples = vec![
+            Sample::config_version(version),
+            Sample {
                 name: "open_requests",
                 help: "Requests in flight",
-                value: open.try_into().unwrap_or(i64::MAX),
+                value: in_flight.try_into().unwrap_or(i64::MAX),
             },
         ];
-        Observed { is_ready: version.is_some() && !*self.leaving.borrow(), figures }
+        Observed { is_ready: version.is_some() && !*self.leaving.borrow(), samples }
     }
 }
 
-/// A running gateway; it ends, cutting everything off, when this is dropped.
+/// A running gateway. Dropping it stops the gateway without waiting for requests in flight.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub address: SocketAddr,
-    /// Where operators ask for health and metrics.
+    /// The address of health, readiness and metrics, for operators.
     pub admin_address: SocketAddr,
     shared: Shared,
     tasks: Vec<AbortHandle>,
@@ -109,7 +112,7 @@
     /// The address cannot be bound, or a client cannot be set up.
     pub async fn start(settings: &Settings) -> Result<Gateway> {
         let process = Process::start(settings).await?;
-        let Process { platform, keeper, config, directory, identity, .. } = process;
+        let Process { platform, sync_task, config, directory, identity, .. } = process;
         let Process { listener, address, traces, clock, .. } = process;
         let poll = settings::millis(settings.platform.poll_ms);
         let context = links::Context {
@@ -118,8 +121,8 @@
             data_centre: settings.instance.data_centre.clone(),
             directory: directory.clone(),
             config: config.clone(),
-            keeper: keeper.clone(),
-            heartbeat: settings::millis(settings.links.heartbeat_ms),
+            sync_task: sync_task.clone(),
+            heartbeat_interval: settings::millis(settings.links.heartbeat_ms),
             clock,
         };
         let router = router::start(context);
@@ -131,16 +134,16 @@
             config,
             directory: directory.clone(),
             router,
-            numbers: Arc::default(),
-            budget: Arc::new(Mutex::new(RetryBudget::new(retry::Config::default()))),
+            request_numbers: Arc::default(),
+            retry_budget: Arc::new(Mutex::new(RetryBudget::new(retry::Config::default()))),
             limiter: Arc::default(),
             clock,
-            open: watch::Sender::new(0),
+            in_flight: watch::Sender::new(0),
             leaving: watch::Sender::new(false),
             traces,
         };
         let server = warp::serve(http::routes(shared.clone())).incoming(listener);
-        let accepting = acceptor::run(platform, keeper, directory, poll);
+        let accepting = acceptor::run(platform, sync_task, directory, poll);
         let (admin_address, admin) =
             admin::start(&settings.instance.admin_listen, shared.clone()).await?;
         let serving = tokio::spawn(server.run()).abort_handle();
@@ -151,24 +154,24 @@
     }
 
     /// The configuration in force here.
-    pub fn config(&self) -> config_keeper::Watch {
+    pub fn config(&self) -> config_sync::Watch {
         self.shared.config.clone()
     }
 
-    /// Leaves: drops out of the endpoints that callers get, serves until kept answers have
-    /// expired and the last request has ended.
+    /// Leaves: removes the gateway from the endpoints that callers get, then serves until the
+    /// endpoint lists that callers hold have expired and the last request has ended.
     ///
-    /// Returns the number of requests still open when `within` had passed.
+    /// Returns the number of requests that were still open when `within` had passed.
     pub async fn leave(&self, within: Duration) -> usize {
         self.shared.leaving.send_replace(true);
         let keep = settings::millis(self.shared.settings.keep_endpoints_ms).min(within);
         tokio::time::sleep(keep).await;
-        let cut_off = drain::until_idle(self.shared.open.subscribe(), within - keep).await;
+        let cut_off = drain::until_idle(self.shared.in_flight.subscribe(), within - keep).await;
         self.shared.traces.flush();
         cut_off
     }
 
-    /// Waits until a link to this many backend servers of a service is open.
+    /// Waits until links to at least `servers` backend servers of a service are open.
     pub async fn wait_linked(&self, service: &str, servers: usize) {
         let mut config = self.shared.config.clone();
         loop {
--- a/crates/hooktrestled/src/gateway/drive.rs
+++ b/crates/hooktrestled/src/gateway/drive.rs
@@ -1,4 +1,7 @@
-//! One request at a gateway: carries out what the attempts' machine says.
+//! Drives one request at a gateway, as one task. Its input is the request, the frames of its
+//! attempts and the deadline; its state is the attempts, the newest attempt's link, and the channel
+//! to the caller. The state machine [`Attempts`] decides on retries; the driver carries out each
+//! [`Next`].
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -49,16 +52,16 @@
 use crate::gateway::tickets;
 use crate::traces::Hop;
 
-/// Answer bytes that a sidecar may send ahead of the caller's reading.
+/// Answer bytes that a sidecar may send before the caller has received them.
 const CREDIT_BYTES: u64 = 256 * 1024;
 
-/// Pieces of an answer between the driver and the caller's connection.
-const OUT_PIECES: usize = 16;
+/// Capacity of the channel of answer chunks from the driver to the caller's connection.
+const BUFFERED_CHUNKS: usize = 16;
 
-/// When to come back if no backend server can be reached.
-const NOWHERE_RETRY_AFTER: Millis = Millis(1_000);
+/// The `retry_after` that callers get if no backend server can be reached.
+const NO_SERVER_RETRY_AFTER: Millis = Millis(1_000);
 
-/// A request as the HTTP side hands it over.
+/// A request, as the HTTP interface passes it on.
 #[derive(Debug)]
 pub(crate) struct Incoming {
     pub(crate) service: Arc<str>,
@@ -72,28 +75,28 @@
     pub(crate) priority: u8,
     pub(crate) cost_tokens: u32,
     pub(crate) retry_policy: RetryPolicy,
-    /// The caller's own ticket, with [`RetryPolicy::Never`].
+    /// The ticket that the caller sent, with [`RetryPolicy::Never`].
     pub(crate) ticket: Option<Ticket>,
-    /// The gateway's part of the request's trace.
+    /// The gateway's span in the trace of the request.
     pub(crate) hop: Hop,
     pub(crate) body: Body,
 }
 
-/// The beginning of an answer, and the channel that the rest comes through.
+/// Status and headers of an answer, and the channel for its body.
 #[derive(Debug)]
 pub(crate) struct Head {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
-    /// Ends with an error if the answer is not whole, and without one if it is.
+    /// Ends with an error if the answer is truncated, and without an error if it is complete.
     pub(crate) body: mpsc::Receiver<Result<Bytes, Refusal>>,
 }
 
-/// What the caller's side waits for.
+/// Result that the HTTP interface waits for.
 pub(crate) type Answer = Result<Head, Refusal>;
 
-/// The way to the caller.
+/// Channel to the HTTP interface, by progress of the answer.
 #[derive(Debug)]
-enum Out {
+enum CallerChannel {
     Head(oneshot::Sender<Answer>),
     Body(mpsc::Sender<Result<Bytes, Refusal>>),
     Closed,
@@ -101,7 +104,7 @@
 
 /// The newest attempt, once it has been sent.
 #[derive(Debug)]
-struct Current {
+struct CurrentAttempt {
     server: Key<Server>,
     handle: Handle,
     events: mpsc::UnboundedReceiver<Event>,
@@ -117,62 +120,62 @@
     incoming: Incoming,
     attempts: Attempts,
     tried: Vec<Key<Server>>,
-    current: Option<Current>,
-    out: Out,
+    current: Option<CurrentAttempt>,
+    caller_channel: CallerChannel,
     deadline: Millis,
 }
 
-/// What happened while waiting.
+/// Reason why a wait ended.
 #[allow(clippy::large_enum_variant, reason = "moved once; a box would cost an allocation")]
-enum Happened {
+enum Wakeup {
     Event(Event),
     Deadline,
     BodyFailed(BodyError),
-    CallerGone,
+    CallerDisconnected,
 }
 
-/// Counts a request as open while it lives: at the gateway, and for its account.
-struct OpenGuard {
+/// Counts a request as in flight, at the gateway and for its account, until it is dropped.
+struct InFlightGuard {
     shared: Shared,
     account: u64,
 }
 
-impl OpenGuard {
-    /// Admits a request within its account's limits.
-    fn admit(shared: &Shared, incoming: &Incoming) -> Result<OpenGuard, Refusal> {
-        let live = directory::gateways(&shared.directory.borrow());
+impl InFlightGuard {
+    /// Admits a request if its account's limits allow.
+    fn admit(shared: &Shared, incoming: &Incoming) -> Result<InFlightGuard, Refusal> {
+        let live = directory::live_gateway_count(&shared.directory.borrow());
         let gateways = live.min(subset::GATEWAYS_PER_SERVICE);
         let account = hash::of(&incoming.account);
         let (now, cost) = (shared.clock.now(), incoming.cost_tokens);
         let mut limiter = shared.limiter.lock().unwrap_or_else(PoisonError::into_inner);
         limiter.admit(now, account, &incoming.limits, gateways, cost)?;
-        shared.open.send_modify(|count| *count += 1);
-        Ok(OpenGuard { shared: shared.clone(), account })
+        shared.in_flight.send_modify(|count| *count += 1);
+        Ok(InFlightGuard { shared: shared.clone(), account })
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.shared.open.send_modify(|count| *count -= 1);
+        self.shared.in_flight.send_modify(|count| *count -= 1);
         let now = self.shared.clock.now();
         let mut limiter = self.shared.limiter.lock().unwrap_or_else(PoisonError::into_inner);
         limiter.release(now, self.account);
     }
 }
 
-/// Starts driving a request; the answer's head, or the refusal, comes through the channel.
+/// Starts a task that drives a request. The channel receives the answer's head, or the refusal.
 ///
 /// # Errors
 ///
-/// The account is over its limits.
+/// The request exceeds a limit of its account.
 pub(crate) fn start(
     shared: Shared,
     incoming: Incoming,
 ) -> Result<oneshot::Receiver<Answer>, Refusal> {
-    let guard = OpenGuard::admit(&shared, &incoming)?;
+    let guard = InFlightGuard::admit(&shared, &incoming)?;
     let (head, answer) = oneshot::channel();
     let config = attempt::Config {
-        number: shared.numbers.next(),
+        number: shared.request_numbers.next(),
         retry_policy: incoming.retry_policy,
         max_attempts: shared.settings.attempts,
     };
@@ -181,7 +184,7 @@
         attempts: Attempts::new(config),
         tried: Vec::new(),
         current: None,
-        out: Out::Head(head),
+        caller_channel: CallerChannel::Head(head),
         shared,
         incoming,
     };
@@ -194,7 +197,7 @@
 
 impl Driver {
     async fn drive(mut self) {
-        with_budget(&self.shared, |budget| budget.earn());
+        with_retry_budget(&self.shared, |retry_budget| retry_budget.earn());
         let mut next = Next::Send(self.attempts.id());
         loop {
             next = match next {
@@ -211,38 +214,39 @@
         self.release().await;
     }
 
-    /// Sends the newest attempt to a backend server that has not been tried.
+    /// Sends the newest attempt to a backend server that has not been tried. If the caller sent a
+    /// ticket, sends it to the sidecar that the ticket names.
     async fn send(&mut self, id: RequestId) -> Next {
         self.release().await;
-        if id.attempt > 0 && !self.incoming.body.can_repeat().await {
+        if id.attempt > 0 && !self.incoming.body.can_resend().await {
             return self.attempts.not_routed(Refusal::not_run(Cause::BackendRefused));
         }
         let Some(choice) = self.choose().await else {
-            return self.attempts.not_routed(self.nowhere());
+            return self.attempts.not_routed(self.unroutable());
         };
         let server = choice.server;
         self.tried.push(server);
         let Some(events) = choice.handle.register(id.number) else {
-            self.give_back(server).await;
-            return self.attempts.not_routed(self.nowhere());
+            self.release_server(server).await;
+            return self.attempts.not_routed(self.unroutable());
         };
         let ticket = self.ticket(&choice);
         let frame = self.frame(id, ticket.clone());
         let handle = choice.handle;
-        // If the link is lost meanwhile, the events say so.
+        // An error means that the link is lost; `Event::Lost` reports that too.
         let _ = handle.sender.send(&Frame::Request(frame), &[]).await;
         self.attempts.sent();
-        let credit = body::first_credit();
+        let credit = body::initial_credit();
         let (failed, body_failed) = mpsc::channel(1);
         let upload = self.upload(id, &handle, &credit, failed);
         self.current =
-            Some(Current { server, handle, events, credit, ticket, upload, body_failed });
+            Some(CurrentAttempt { server, handle, events, credit, ticket, upload, body_failed });
         Next::Ignore
     }
 
     async fn choose(&self) -> Option<Choice> {
         let router = &self.shared.router;
-        // A router that has ended chooses nothing any more.
+        // An error means that the router has ended; it is handled as no choice.
         if let Some(ticket) = &self.incoming.ticket {
             return router.send(Find(ticket.sidecar.clone())).await.ok().flatten();
         }
@@ -250,10 +254,10 @@
         router.send(Choose { service, tried: self.tried.clone() }).await.ok().flatten()
     }
 
-    /// The refusal when nothing can be chosen. What a caller's own ticket did earlier is not known
-    /// here.
-    fn nowhere(&self) -> Refusal {
-        let refusal = attempt::no_backend_server(NOWHERE_RETRY_AFTER);
+    /// The refusal if no backend server can be chosen. A ticket that the caller sent may have run
+    /// earlier: this gateway does not know.
+    fn unroutable(&self) -> Refusal {
+        let refusal = attempt::no_backend_server(NO_SERVER_RETRY_AFTER);
         match self.incoming.retry_policy {
             RetryPolicy::Never => Refusal { verdict: Verdict::MayHaveRun, ..refusal },
             RetryPolicy::Unrestricted | RetryPolicy::WithNewTicket => refusal,
@@ -266,7 +270,7 @@
             RetryPolicy::Never => self.incoming.ticket.clone(),
             RetryPolicy::WithNewTicket => {
                 let handle = &choice.handle;
-                Some(tickets::mint(&handle.sidecar, handle.incarnation, choice.sidecar_now))
+                Some(tickets::new_ticket(&handle.sidecar, handle.incarnation, choice.sidecar_now))
             }
         }
     }
@@ -302,50 +306,52 @@
         let credit = Arc::clone(credit);
         let task = tokio::spawn(async move {
             if let Err(error) = body.upload(&sender, id, &credit).await {
-                // The request may have ended by itself.
+                // An error means that the request has ended meanwhile.
                 let _ = failed.send(error).await;
             }
         });
         task.abort_handle()
     }
 
-    /// Waits for one thing to happen; `None` if the caller has gone.
+    /// Waits for one event and handles it; `None` if the caller has disconnected.
     async fn wait(&mut self) -> Option<Next> {
-        let happened = self.happen().await;
-        match happened {
-            Happened::CallerGone => None,
-            Happened::Deadline => Some(self.attempts.deadline()),
-            Happened::BodyFailed(error) => Some(Next::Finish(body_refusal(error))),
-            Happened::Event(Event::Lost) => {
+        let wakeup = self.next_wakeup().await;
+        match wakeup {
+            Wakeup::CallerDisconnected => None,
+            Wakeup::Deadline => Some(self.attempts.deadline()),
+            Wakeup::BodyFailed(error) => Some(Next::Finish(body_refusal(error))),
+            Wakeup::Event(Event::Lost) => {
                 let id = self.attempts.id();
-                Some(with_budget(&self.shared, |budget| self.attempts.link_lost(id, budget)))
+                Some(with_retry_budget(&self.shared, |retry_budget| {
+                    self.attempts.link_lost(id, retry_budget)
+                }))
             }
-            Happened::Event(Event::Frame(frame, payload)) => self.frame_came(frame, payload).await,
+            Wakeup::Event(Event::Frame(frame, payload)) => self.handle_frame(frame, payload).await,
         }
     }
 
-    async fn happen(&mut self) -> Happened {
+    async fn next_wakeup(&mut self) -> Wakeup {
         let Some(current) = &mut self.current else {
-            debug_assert!(false, "only a sent attempt is waited for");
-            return Happened::Deadline;
+            debug_assert!(false, "waited without a sent attempt");
+            return Wakeup::Deadline;
         };
-        let gone = async {
-            match &mut self.out {
-                Out::Head(head) => head.closed().await,
-                Out::Body(body) => body.closed().await,
-                Out::Closed => {}
+        let disconnected = async {
+            match &mut self.caller_channel {
+                CallerChannel::Head(head) => head.closed().await,
+                CallerChannel::Body(body) => body.closed().await,
+                CallerChannel::Closed => {}
             }
         };
         tokio::select! {
             biased;
-            event = current.events.recv() => Happened::Event(event.unwrap_or(Event::Lost)),
-            () = gone => Happened::CallerGone,
-            Some(error) = current.body_failed.recv() => Happened::BodyFailed(error),
-            () = self.shared.clock.sleep_until(self.deadline) => Happened::Deadline,
+            event = current.events.recv() => Wakeup::Event(event.unwrap_or(Event::Lost)),
+            () = disconnected => Wakeup::CallerDisconnected,
+            Some(error) = current.body_failed.recv() => Wakeup::BodyFailed(error),
+            () = self.shared.clock.sleep_until(self.deadline) => Wakeup::Deadline,
         }
     }
 
-    async fn frame_came(&mut self, frame: Frame, payload: Bytes) -> Option<Next> {
+    async fn handle_frame(&mut self, frame: Frame, payload: Bytes) -> Option<Next> {
         match frame {
             Frame::Head(head) => {
                 let next = self.attempts.head(RequestId::from(&head.id));
@@ -364,8 +370,8 @@
             Frame::Refused(refused) => {
                 let id = RequestId::from(&refused.id);
                 let (refusal, spent) = (refusal(&refused), refused.spent);
-                Some(with_budget(&self.shared, |budget| {
-                    self.attempts.refused(id, refusal, spent, budget)
+                Some(with_retry_budget(&self.shared, |retry_budget| {
+                    self.attempts.refused(id, refusal, spent, retry_budget)
                 }))
             }
             Frame::Credit(credit) => {
@@ -380,27 +386,30 @@
         if let Some(current) = &self.current
             && RequestId::from(&credit.id) == self.attempts.id()
         {
-            let room = Semaphore::MAX_PERMITS - current.credit.available_permits();
+            let max_additional = Semaphore::MAX_PERMITS - current.credit.available_permits();
             let more = usize::try_from(credit.more_bytes).unwrap_or(usize::MAX);
-            current.credit.add_permits(more.min(room / 2));
+            current.credit.add_permits(more.min(max_additional / 2));
         }
     }
 
     fn forward_head(&mut self, status: u16, headers: Vec<Header>) -> Option<()> {
-        let (sender, body) = mpsc::channel(OUT_PIECES);
-        let Out::Head(head) = std::mem::replace(&mut self.out, Out::Body(sender)) else {
-            debug_assert!(false, "a head is forwarded once");
+        let (sender, body) = mpsc::channel(BUFFERED_CHUNKS);
+        let CallerChannel::Head(head) =
+            std::mem::replace(&mut self.caller_channel, CallerChannel::Body(sender))
+        else {
+            debug_assert!(false, "head of an answer forwarded twice");
             return None;
         };
         head.send(Ok(Head { status, headers, body })).ok()
     }
 
-    /// Passes a piece on; a caller that reads slowly holds up only its own answer.
+    /// Sends a chunk to the caller, and returns its credit to the sidecar. A caller that reads
+    /// slowly delays only its own answer.
     async fn forward(&mut self, next: Next, payload: Bytes) -> Option<Next> {
         if payload.is_empty() {
             return Some(next);
         }
-        let Out::Body(body) = &self.out else { return None };
+        let CallerChannel::Body(body) = &self.caller_channel else { return None };
         let more_bytes = payload.len() as u64;
         tokio::select! {
             sent = body.send(Ok(payload)) => sent.ok()?,
@@ -408,23 +417,25 @@
         }
         if let Some(current) = &self.current {
             let credit = CreditFrame { id: self.attempts.id().into(), more_bytes };
-            // If the link is lost, the events say so.
+            // An error means that the link is lost; `Event::Lost` reports that too.
             let _ = current.handle.sender.send(&Frame::Credit(credit), &[]).await;
         }
         Some(next)
     }
 
-    /// Asks the sidecar, over a new link, what became of the newest attempt.
+    /// Queries the sidecar, over a new link, for the outcome of the newest attempt.
     async fn settle(&mut self, id: RequestId) -> Next {
         let clock = self.shared.clock;
         let within = Millis(self.shared.settings.settle_ms);
         let until = self.deadline.min(clock.now() + within);
-        let asked = clock.timeout_at(until, self.ask(id)).await;
-        let verdict = asked.ok().flatten();
-        with_budget(&self.shared, |budget| self.attempts.settled(id, verdict, budget))
+        let query = clock.timeout_at(until, self.query_verdict(id)).await;
+        let verdict = query.ok().flatten();
+        with_retry_budget(&self.shared, |retry_budget| {
+            self.attempts.settled(id, verdict, retry_budget)
+        })
     }
 
-    async fn ask(&mut self, id: RequestId) -> Option<Verdict> {
+    async fn query_verdict(&mut self, id: RequestId) -> Option<Verdict> {
         let current = self.current.as_ref()?;
         let lost_epoch = current.handle.epoch;
         let incarnation = current.handle.incarnation;
@@ -433,7 +444,7 @@
             |link: &Option<Handle>| link.as_ref().is_some_and(|link| link.epoch > lost_epoch);
         let handle = link.wait_for(is_new).await.ok()?.clone()?;
         if handle.incarnation != incarnation {
-            // The one that knew is gone.
+            // Only the incarnation that received the attempt knows its outcome.
             return None;
         }
         let mut events = handle.register(id.number)?;
@@ -442,7 +453,7 @@
         loop {
             match events.recv().await? {
                 Event::Frame(Frame::Settled(settled), _) if RequestId::from(&settled.id) == id => {
-                    handle.forget(id.number);
+                    handle.deregister(id.number);
                     return Some(settled.verdict);
                 }
                 Event::Frame(..) => {}
@@ -451,19 +462,19 @@
         }
     }
 
-    /// Gives the caller the final answer, and stops what may still run.
+    /// Sends the final answer to the caller, and cancels an attempt that may still run.
     async fn finish(&mut self, refusal: Refusal) {
-        self.incoming.hop.note("hooktrestle.verdict", refusal.verdict.to_string());
-        self.incoming.hop.note("hooktrestle.cause", refusal.cause.to_string());
-        match std::mem::replace(&mut self.out, Out::Closed) {
-            Out::Head(head) => {
-                // A caller that has gone needs no answer.
+        self.incoming.hop.add_attribute("hooktrestle.verdict", refusal.verdict.to_string());
+        self.incoming.hop.add_attribute("hooktrestle.cause", refusal.cause.to_string());
+        match std::mem::replace(&mut self.caller_channel, CallerChannel::Closed) {
+            CallerChannel::Head(head) => {
+                // An error means that the caller has disconnected.
                 let _ = head.send(Err(refusal));
             }
-            Out::Body(body) => {
+            CallerChannel::Body(body) => {
                 let _ = tokio::time::timeout(Duration::from_secs(1), body.send(Err(refusal))).await;
             }
-            Out::Closed => {}
+            CallerChannel::Closed => {}
         }
         if refusal.verdict == Verdict::NotRun {
             self.acknowledge().await;
@@ -473,37 +484,37 @@
     }
 
     async fn cancel(&mut self) {
-        self.tell(Frame::Cancel(IdFrame { id: self.attempts.id().into() })).await;
+        self.send_frame(Frame::Cancel(IdFrame { id: self.attempts.id().into() })).await;
     }
 
     async fn acknowledge(&mut self) {
-        self.tell(Frame::Ack(IdFrame { id: self.attempts.id().into() })).await;
+        self.send_frame(Frame::Ack(IdFrame { id: self.attempts.id().into() })).await;
     }
 
-    async fn tell(&mut self, frame: Frame) {
+    async fn send_frame(&mut self, frame: Frame) {
         if let Some(current) = &self.current {
-            // If the link is lost, the sidecar knows that nobody waits.
+            // An error means that the link is lost; the sidecar detects that too.
             let _ = current.handle.sender.send(&frame, &[]).await;
         }
     }
 
-    /// Ends the newest attempt's use of its link and backend server.
+    /// Stops the upload of the newest attempt, and releases its link and backend server.
     async fn release(&mut self) {
         if let Some(current) = self.current.take() {
             current.upload.abort();
-            current.handle.forget(self.attempts.id().number);
-            self.give_back(current.server).await;
+            current.handle.deregister(self.attempts.id().number);
+            self.release_server(current.server).await;
         }
     }
 
-    async fn give_back(&self, server: Key<Server>) {
-        // A router that has ended counts nothing any more.
+    async fn release_server(&self, server: Key<Server>) {
+        // An error means that the router has ended; it has no counts to update.
         let _ = self.shared.router.send(Release(server)).await;
     }
 }
 
-fn with_budget<T>(shared: &Shared, apply: impl FnOnce(&mut RetryBudget) -> T) -> T {
-    apply(&mut shared.budget.lock().unwrap_or_else(PoisonError::into_inner))
+fn with_retry_budget<T>(shared: &Shared, apply: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    apply(&mut shared.retry_budget.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 fn refusal(frame: &RefusedFrame) -> Refusal {
@@ -514,10 +525,11 @@
     }
 }
 
-/// The body is fed to the backend server as it comes, so the request may have run on a part of it.
+/// A body is sent to the backend server while it arrives, so the request may have run on a part of
+/// it.
 fn body_refusal(error: BodyError) -> Refusal {
     match error {
-        BodyError::CutOff => Refusal::may_have_run(Cause::Cancelled),
+        BodyError::Truncated => Refusal::may_have_run(Cause::Cancelled),
         BodyError::TooLarge => Refusal::may_have_run(Cause::TooLarge),
     }
 }
--- a/crates/hooktrestled/src/process.rs
+++ b/crates/hooktrestled/src/process.rs
@@ -1,4 +1,6 @@
-//! What every process of the daemon begins with, whatever its role.
+//! Start of a process, common to both roles. The input is the settings; the result is the listener,
+//! the platform client, the instance's identity, and running tasks that follow the configuration
+//! and the instance list. It decides nothing but the random incarnation.
 
 use std::net::SocketAddr;
 
@@ -12,18 +14,18 @@
 use tokio::net::TcpListener;
 use xtra::Address;
 
-use crate::config_keeper;
-use crate::config_keeper::ConfigKeeper;
+use crate::config_sync;
+use crate::config_sync::ConfigSync;
 use crate::directory;
 use crate::settings;
 use crate::traces::Traces;
 
-/// A process that listens, and follows the configuration and the instance list.
+/// The parts that both roles use.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) platform: Platform,
-    pub(crate) keeper: Address<ConfigKeeper>,
-    pub(crate) config: config_keeper::Watch,
+    pub(crate) sync_task: Address<ConfigSync>,
+    pub(crate) config: config_sync::Watch,
     pub(crate) directory: directory::Watch,
     pub(crate) identity: Identity,
     pub(crate) listener: TcpListener,
@@ -33,7 +35,8 @@
 }
 
 impl Process {
-    /// Starts what all roles share.
+    /// Binds the listener, and starts the tasks that follow the configuration and the instance
+    /// list.
     ///
     /// # Errors
     ///
@@ -42,7 +45,7 @@
         let instance = &settings.instance;
         let platform = Platform::new(settings::platform(settings))?;
         let poll = settings::millis(settings.platform.poll_ms);
-        let (keeper, config) = config_keeper::start(platform.clone(), poll);
+        let (sync_task, config) = config_sync::start(platform.clone(), poll);
         let listener = TcpListener::bind(&instance.listen)
             .await
             .wrap_err_with(|| format!("cannot listen on {}", instance.listen))?;
@@ -56,7 +59,7 @@
             traces: Traces::new(settings.traces.as_ref(), &instance.name)?,
             clock: ProcessClock::default(),
             platform,
-            keeper,
+            sync_task,
             config,
             listener,
         })
