--- a/crates/core/src/direct/budget.rs
+++ b/crates/core/src/direct/budget.rs
@@ -47,7 +47,7 @@
 
     /// Records a request for the service.
     pub fn record_request(&mut self, now: Millis) {
-        self.expire(now);
+        self.remove_expired(now);
         self.requests.push_back(now);
     }
 
@@ -63,14 +63,14 @@
 
     /// Whether this gateway's share of the bound has a retry left.
     pub fn has_retry(&mut self, now: Millis, gateways: usize) -> bool {
-        self.expire(now);
+        self.remove_expired(now);
         let slack = self.config.slack / gateways.max(1) as f64;
         let max_retries =
             USABLE_FRACTION * (self.config.ratio * self.requests.len() as f64 + slack);
         (self.retries.len() as f64) + 1.0 <= max_retries
     }
 
-    fn expire(&mut self, now: Millis) {
+    fn remove_expired(&mut self, now: Millis) {
         let window = self.config.window;
         for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now.since(*at) >= window) {
--- a/crates/core/src/direct/crashes.rs
+++ b/crates/core/src/direct/crashes.rs
@@ -442,7 +442,7 @@
         if added.is_empty() {
             return MergeOutcome::Unchanged;
         }
-        self.expire(now);
+        self.remove_expired(now);
         self.update_refused(now);
         let repeated = self.repeat_suspects(now);
         let is_held_back = |one: &Fingerprint| self.quarantine(*one, now) != Quarantine::Free;
@@ -467,7 +467,7 @@
         self.reports.retain(|_, report| !report.suspects.is_empty());
         let at = Aged { age_at_merge: age, merged_at: now };
         self.cleared.entry(fingerprint).or_insert(at).record(age, now);
-        self.expire(now);
+        self.remove_expired(now);
         if !is_removed {
             return MergeOutcome::Unchanged;
         }
@@ -476,7 +476,7 @@
     }
 
     /// Removes what has expired, and the oldest entries above the limits.
-    pub fn expire(&mut self, now: Millis) {
+    pub fn remove_expired(&mut self, now: Millis) {
         let Config { report_ttl, max_crashes, .. } = self.config;
         self.reports.retain(|_, report| report.at.age(now) < report_ttl);
         self.cleared.retain(|_, at| at.age(now) < report_ttl);
--- a/crates/core/src/direct/expert_plan.rs
+++ b/crates/core/src/direct/expert_plan.rs
@@ -332,7 +332,8 @@
         self.new[usize::from(rank)] -= usize::from(!self.start[expert].contains(rank));
     }
 
-    /// Recomputes the sum of power_sum: one that is only updated accumulates rounding errors.
+    /// Recomputes the sum of the powers of the loads: one that is only updated accumulates rounding
+    /// errors.
     fn recompute_powers(&mut self) {
         self.power_sum = self.loads.iter().map(|load| self.power(*load)).sum();
     }
@@ -342,7 +343,7 @@
     }
 }
 
-/// The norm of the loads relative to their mean, from the sum of their power_sum.
+/// The norm of the loads relative to their mean, from the sum of the powers of the loads.
 fn norm(power_sum: f64) -> f64 {
     power_sum.max(0.0).powf(1.0 / f64::from(NORM_EXPONENT))
 }
--- a/crates/core/src/direct/pool/limits.rs
+++ b/crates/core/src/direct/pool/limits.rs
@@ -18,20 +18,20 @@
 const NO_LIMIT_GOSSIP_PERIOD: Millis = Millis(60_000);
 
 impl Pool {
-    /// Merges a limit that a server advertised, or its withdrawal.
-    pub fn merge_limit(&mut self, key: Key<Server>, said: LimitAdvertisement) -> LimitMergeOutcome {
+    /// Applies a limit that a server advertised, or its withdrawal.
+    pub fn apply_limit(&mut self, key: Key<Server>, said: LimitAdvertisement) -> LimitMergeOutcome {
         let limited = self.limits.entry(key).or_default();
         limited.apply(said)
     }
 
-    /// [`Pool::merge_limit`] for a server by its incarnation. An unknown one is ignored.
-    pub fn merge_limit_of(
+    /// [`Pool::apply_limit`] for a server by its incarnation. An unknown one is ignored.
+    pub fn apply_limit_of(
         &mut self,
         incarnation: ServerIncarnation,
         said: LimitAdvertisement,
     ) -> LimitMergeOutcome {
         match self.by_incarnation.get(&incarnation).copied() {
-            Some(key) => self.merge_limit(key, said),
+            Some(key) => self.apply_limit(key, said),
             None => LimitMergeOutcome::Unchanged,
         }
     }
--- a/crates/core/src/ticket_memory.rs
+++ b/crates/core/src/ticket_memory.rs
@@ -70,7 +70,7 @@
     ///
     /// The refusal to send; nothing ran because of this call.
     pub fn accept(&mut self, now: Millis, ticket: &Ticket) -> Result<(), Refusal> {
-        self.evict_expired(now);
+        self.remove_expired(now);
         if ticket.incarnation != self.incarnation {
             return Err(Refusal::may_have_run(Cause::OtherIncarnation));
         }
@@ -113,9 +113,9 @@
         self.by_age.push_back((now, nonce));
     }
 
-    /// Evicts tickets that were seen longer ago than the retention time. A ticket is seen no
-    /// earlier than it is issued, so the age of an evicted ticket alone causes its refusal.
-    fn evict_expired(&mut self, now: Millis) {
+    /// Removes tickets that were seen longer ago than the retention time. A ticket is seen no
+    /// earlier than it is issued, so the age of a removed ticket alone causes its refusal.
+    fn remove_expired(&mut self, now: Millis) {
         while let Some((seen, nonce)) = self.by_age.front().copied() {
             if now.since(seen) < self.config.retention {
                 return;
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -111,7 +111,7 @@
     let end = NOW + config.report_ttl;
     assert_eq!(crashes.refused_for(Fingerprint(7), later), Some(end.since(later)));
     assert_eq!(crashes.refused_for(Fingerprint(7), end), None);
-    crashes.expire(end);
+    crashes.remove_expired(end);
     assert_eq!(crashes.report_digests(end).len(), 1, "only the last report counts still");
     // A report that arrives too late does not count.
     let old = Crash { age: config.report_ttl, ..crash(9, &[(7, 90)]) };
--- a/crates/core/tests/ranks/mod.rs
+++ b/crates/core/tests/ranks/mod.rs
@@ -92,7 +92,7 @@
     pub passes_with_two_maps: u64,
     /// Whether the group has work, without which it makes no passes.
     pub busy: bool,
-    /// Whether ranks refuse orders with an lower fencing token than the highest accepted one.
+    /// Whether ranks refuse orders with a lower fencing token than the highest accepted one.
     pub checks_fencing_tokens: bool,
 }
 
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -326,7 +326,7 @@
     /// Forgets what is too old; returns what was at more than one crash, and at one here.
     pub fn crashes_to_keep(&self) -> Vec<KeptCrashes> {
         let now = self.now();
-        self.crashes.borrow_mut().expire(now);
+        self.crashes.borrow_mut().remove_expired(now);
         self.tell_refused(now);
         let crashes = self.crashes.borrow();
         let worth = crashes.repeat_suspects(now);
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -58,7 +58,7 @@
             None => return None,
         };
         let said = LimitAdvertisement { limit, earliest: sent_at, latest: self.now() };
-        let heard = self.with_pool(|pool| pool.merge_limit(server, said));
+        let heard = self.with_pool(|pool| pool.apply_limit(server, said));
         self.act_on_limit(heard);
         if heard != LimitMergeOutcome::Unchanged {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
@@ -70,7 +70,7 @@
     /// Takes what another gateway tells of limits.
     pub fn take_limits(&self, told: &[(ServerIncarnation, LimitAdvertisement)]) {
         let heard = self.with_pool(|pool| {
-            told.iter().map(|(server, said)| pool.merge_limit_of(*server, *said)).max()
+            told.iter().map(|(server, said)| pool.apply_limit_of(*server, *said)).max()
         });
         self.act_on_limit(heard.unwrap_or(LimitMergeOutcome::Unchanged));
     }
