--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -33,8 +33,8 @@
 use crate::connections::Connection;
 use crate::gateway::Gateway;
 use crate::gateway::slow_servers::Reach;
-use crate::permits;
 use crate::permits::PermitRequest;
+use crate::permits;
 use crate::platform::Platform;
 use crate::platform::StoredCrashes;
 
@@ -341,7 +341,7 @@
     /// this gateway detected one.
     pub fn crashes_to_store(&self) -> Vec<StoredCrashes> {
         let now = self.now();
-        self.crashes.borrow_mut().expire(now);
+        self.crashes.borrow_mut().remove_expired(now);
         self.log_refused(now);
         let crashes = self.crashes.borrow();
         let candidates = crashes.repeat_suspects(now);
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -18,8 +18,8 @@
 use crate::gateway::Gateway;
 use crate::gateway::slow_servers::Reach;
 use crate::headers;
-use crate::permits;
 use crate::permits::PermitRequest;
+use crate::permits;
 use crate::platform::Platform;
 
 /// Permission to send one request to a server.
@@ -61,7 +61,7 @@
             None => return None,
         };
         let advertisement = LimitAdvertisement { limit, earliest: sent_at, latest: self.now() };
-        let outcome = self.with_pool(|pool| pool.merge_limit(server, advertisement));
+        let outcome = self.with_pool(|pool| pool.apply_limit(server, advertisement));
         self.act_on_limit(outcome);
         if outcome != LimitMergeOutcome::Unchanged {
             let id = self.with_pool(|pool| pool.server(server).listed.id.clone());
@@ -76,7 +76,7 @@
         let outcome = self.with_pool(|pool| {
             advertisements
                 .iter()
-                .map(|(server, advertisement)| pool.merge_limit_of(*server, *advertisement))
+                .map(|(server, advertisement)| pool.apply_limit_of(*server, *advertisement))
                 .max()
         });
         self.act_on_limit(outcome.unwrap_or(LimitMergeOutcome::Unchanged));
