--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -33,8 +33,8 @@
 use crate::connections::Connection;
 use crate::gateway::Gateway;
 use crate::gateway::slow_servers::Reach;
-use crate::permits::PermitRequest;
 use crate::permits;
+use crate::permits::PermitRequest;
 use crate::platform::Platform;
 use crate::platform::StoredCrashes;
 
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -18,8 +18,8 @@
 use crate::gateway::Gateway;
 use crate::gateway::slow_servers::Reach;
 use crate::headers;
-use crate::permits::PermitRequest;
 use crate::permits;
+use crate::permits::PermitRequest;
 use crate::platform::Platform;
 
 /// Permission to send one request to a server.
