--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -3,7 +3,7 @@
 //! A machine can be suspended for seconds. The clock that timers run by does not count that time, so
 //! whatever is due by it is late by as much: leases seem to hold, callers seem to wait. [`ProcessClock`]
 //! counts it (`CLOCK_BOOTTIME`), and waits until a moment of its own in short pieces, so that who wakes
-//! notices within [`LOOK`].
+//! notices within [`MAX_SLEEP`].
 //!
 //! What is measured while the process runs, as how long a peer says nothing, stays with the timers: a peer is
 //! not silent for longer because we slept.
@@ -19,7 +19,7 @@
 
 /// Longest piece of a wait. What is due while a machine is suspended is noticed so much after its waking at the
 /// latest; a request of the users takes 1 to 2 s, so most waits wake a task once more.
-pub const LOOK: Duration = Duration::from_millis(1_000);
+pub const MAX_SLEEP: Duration = Duration::from_millis(1_000);
 
 /// The process's steady clock, time asleep included.
 #[derive(Clone, Copy, Debug)]
@@ -30,25 +30,25 @@
 
 /// The moment that was waited for is past.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Passed;
+pub struct Elapsed;
 
-impl fmt::Display for Passed {
+impl fmt::Display for Elapsed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the time is over")
     }
 }
 
-impl std::error::Error for Passed {}
+impl std::error::Error for Elapsed {}
 
 impl Default for ProcessClock {
     fn default() -> Self {
-        ProcessClock::reading(since_boot)
+        ProcessClock::with_source(since_boot)
     }
 }
 
 impl ProcessClock {
     /// A clock that begins now and reads time from elsewhere.
-    pub fn reading(read: fn() -> Duration) -> ProcessClock {
+    pub fn with_source(read: fn() -> Duration) -> ProcessClock {
         ProcessClock { read, start: read() }
     }
 
@@ -59,7 +59,7 @@
             if left == Millis::ZERO {
                 return;
             }
-            time::sleep(Duration::from(left).min(LOOK)).await;
+            time::sleep(Duration::from(left).min(MAX_SLEEP)).await;
         }
     }
 
@@ -68,11 +68,11 @@
     /// # Errors
     ///
     /// It was not done.
-    pub async fn timeout_at<F: Future>(&self, at: Millis, future: F) -> Result<F::Output, Passed> {
+    pub async fn timeout_at<F: Future>(&self, at: Millis, future: F) -> Result<F::Output, Elapsed> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            () = self.sleep_until(at) => Err(Passed),
+            () = self.sleep_until(at) => Err(Elapsed),
         }
     }
 }
@@ -84,8 +84,8 @@
 }
 
 fn since_boot() -> Duration {
-    let told = clock_gettime(ClockId::Boottime);
-    let seconds = u64::try_from(told.tv_sec).unwrap_or_default();
-    let nanoseconds = u32::try_from(told.tv_nsec).unwrap_or_default();
+    let boot_time = clock_gettime(ClockId::Boottime);
+    let seconds = u64::try_from(boot_time.tv_sec).unwrap_or_default();
+    let nanoseconds = u32::try_from(boot_time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanoseconds)
 }
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -4,8 +4,8 @@
 use std::future;
 use std::time::Duration;
 
-use hooktrestle_clock::LOOK;
-use hooktrestle_clock::Passed;
+use hooktrestle_clock::Elapsed;
+use hooktrestle_clock::MAX_SLEEP;
 use hooktrestle_clock::ProcessClock;
 use hooktrestle_core::clock::Clock;
 use hooktrestle_core::clock::Millis;
@@ -14,17 +14,17 @@
 use tokio::time::Instant;
 
 thread_local! {
-    static ASLEEP: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
     static START: Instant = Instant::now();
 }
 
 /// The timers' time, and the time asleep.
-fn with_time_asleep() -> Duration {
-    START.with(Instant::elapsed) + ASLEEP.get()
+fn with_suspended_time() -> Duration {
+    START.with(Instant::elapsed) + SUSPENDED.get()
 }
 
 fn suspend(span: Duration) {
-    ASLEEP.set(ASLEEP.get() + span);
+    SUSPENDED.set(SUSPENDED.get() + span);
 }
 
 /// Runs a test on timers that stand still but for what is waited for.
@@ -47,7 +47,7 @@
 #[test]
 fn who_sleeps_through_a_suspension_wakes_at_the_next_look() {
     run(async {
-        let clock = ProcessClock::reading(with_time_asleep);
+        let clock = ProcessClock::with_source(with_suspended_time);
         let due = clock.now() + Millis(60_000);
         let began = Instant::now();
         let sleeps = clock.sleep_until(due);
@@ -56,14 +56,14 @@
             suspend(Duration::from_secs(90));
         };
         tokio::join!(sleeps, suspends);
-        assert!(began.elapsed() <= LOOK, "{:?} awake", began.elapsed());
+        assert!(began.elapsed() <= MAX_SLEEP, "{:?} awake", began.elapsed());
     });
 }
 
 #[test]
 fn without_a_suspension_it_wakes_in_time() {
     run(async {
-        let clock = ProcessClock::reading(with_time_asleep);
+        let clock = ProcessClock::with_source(with_suspended_time);
         let began = Instant::now();
         clock.sleep_until(clock.now() + Millis(2_345)).await;
         assert_eq!(began.elapsed(), Duration::from_millis(2_345));
@@ -73,10 +73,10 @@
 #[test]
 fn what_is_done_as_the_time_is_over_counts_as_done() {
     run(async {
-        let clock = ProcessClock::reading(with_time_asleep);
+        let clock = ProcessClock::with_source(with_suspended_time);
         let past = clock.now();
         suspend(Duration::from_secs(5));
         assert_eq!(clock.timeout_at(past, future::ready(7)).await, Ok(7));
-        assert_eq!(clock.timeout_at(past, future::pending::<u8>()).await, Err(Passed));
+        assert_eq!(clock.timeout_at(past, future::pending::<u8>()).await, Err(Elapsed));
     });
 }
--- a/crates/direct/tests/admission_queue.rs
+++ b/crates/direct/tests/admission_queue.rs
@@ -34,7 +34,7 @@
     thread_local! {
         static START: Instant = Instant::now();
     }
-    ProcessClock::reading(|| START.with(Instant::elapsed))
+    ProcessClock::with_source(|| START.with(Instant::elapsed))
 }
 
 fn request(clock: ProcessClock, priority: u8, left_ms: u64) -> AdmissionRequest {
--- a/crates/embedded/tests/configuration.rs
+++ b/crates/embedded/tests/configuration.rs
@@ -138,7 +138,7 @@
     fleet.fake.set_faults(Faults { lose_requests: 1, ..Faults::default() });
     let error = fleet.edit(&[("service:lost", json!({ "kind": "plain" }))]).await.unwrap_err();
     let error = error.downcast::<hooktrestle_platform::Error>().unwrap();
-    assert!(!error.is_unsettled(), "{error}");
+    assert!(!error.is_outcome_unknown(), "{error}");
     assert!(fleet.platform.row(ROWS, "service:lost").await.unwrap().is_none());
 }
 
--- a/crates/hooktrestled/src/settings.rs
+++ b/crates/hooktrestled/src/settings.rs
@@ -100,8 +100,8 @@
 pub(crate) fn links(settings: &Settings) -> hooktrestle_link::Config {
     hooktrestle_link::Config {
         keys: Keys::parse(&settings.links.keys).expect("checked when parsed"),
-        frame_limit: usize::try_from(settings.links.frame_limit_bytes).unwrap_or(usize::MAX),
-        silence: millis(settings.links.silence_ms),
+        max_message_bytes: usize::try_from(settings.links.frame_limit_bytes).unwrap_or(usize::MAX),
+        silence_timeout: millis(settings.links.silence_ms),
     }
 }
 
--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -1,11 +1,11 @@
 //! The process in a backend server's slot: links from gateways in, the backend server behind.
 //!
-//! - [`desk`]: the actor around the dispatcher.
+//! - [`dispatch_actor`]: the actor around the dispatcher.
 //! - [`group`]: leads the group's ranks, if this sidecar holds the lease.
 //! - [`links`]: accepts links and reads their frames.
 //! - [`run`]: one request at the backend server.
 
-mod desk;
+mod dispatch_actor;
 mod group;
 mod links;
 mod run;
@@ -33,14 +33,14 @@
 use crate::settings;
 use crate::traces::Traces;
 
-pub use desk::Desk;
+pub use dispatch_actor::DispatchActor;
 
 /// Limits before the configuration has said any.
-const FIRST_MOST_RUNNING: usize = 32;
-const FIRST_MOST_QUEUED: usize = 64;
+const INITIAL_MAX_RUNNING: usize = 32;
+const INITIAL_MAX_QUEUED: usize = 64;
 
 /// How long the records of a gateway that has gone are kept for its questions.
-const REMEMBER_GATEWAY: Millis = Millis(60_000);
+const GATEWAY_RETENTION: Millis = Millis(60_000);
 
 /// A running sidecar; it ends, cutting everything off, when this is dropped.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     pub address: SocketAddr,
     /// Where operators ask for health and metrics.
     pub admin_address: SocketAddr,
-    desk: Address<Desk>,
+    actor: Address<DispatchActor>,
     tasks: [AbortHandle; 3],
     traces: Traces,
     config: config_keeper::Watch,
@@ -58,14 +58,14 @@
 /// A sidecar as operators observe it.
 #[derive(Clone, Debug)]
 struct Observer {
-    desk: Address<Desk>,
+    actor: Address<DispatchActor>,
     config: config_keeper::Watch,
 }
 
 impl Observe for Observer {
     async fn observe(&self) -> Observed {
         let version = config_keeper::version(&self.config);
-        let Ok(load) = self.desk.send(desk::ReadLoad).await else {
+        let Ok(load) = self.actor.send(dispatch_actor::ReadLoad).await else {
             return Observed { is_ready: false, figures: Vec::new() };
         };
         let figures = vec![
@@ -88,8 +88,8 @@
 impl Drop for Sidecar {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
-        let desk = self.desk.clone();
-        tokio::spawn(async move { desk.send(desk::CutOff).await });
+        let actor = self.actor.clone();
+        tokio::spawn(async move { actor.send(dispatch_actor::AbortAll).await });
     }
 }
 
@@ -106,14 +106,14 @@
         let Process { platform, keeper, config, directory, identity, .. } = process;
         let Process { listener, address, traces, clock, .. } = process;
         let backend = run::Backend::new(&sidecar.backend_url, traces.clone())?;
-        let desk = desk::start(desk::Setup {
+        let actor = dispatch_actor::start(dispatch_actor::Setup {
             identity: identity.clone(),
             clock,
             limits: limits(&sidecar),
             backend: backend.clone(),
             config: config.clone(),
         });
-        let leading = group::lead(group::Context {
+        let leadership = group::lead(group::Context {
             platform,
             link: settings::links(settings),
             identity: identity.clone(),
@@ -127,22 +127,22 @@
             link: settings::links(settings),
             backend,
             identity,
-            desk: desk.clone(),
+            actor: actor.clone(),
             keeper,
             config: config.clone(),
             heartbeat: settings::millis(settings.links.heartbeat_ms),
         };
         let listening = tokio::spawn(links::accept_all(listener, context)).abort_handle();
-        let leading = tokio::spawn(leading).abort_handle();
-        let observer = Observer { desk: desk.clone(), config: config.clone() };
+        let leadership = tokio::spawn(leadership).abort_handle();
+        let observer = Observer { actor: actor.clone(), config: config.clone() };
         let (admin_address, admin) =
             admin::start(&settings.instance.admin_listen, observer).await?;
         info!("sidecar listens", kv: { address: = address.to_string().as_str() });
         Ok(Sidecar {
             address,
             admin_address,
-            desk,
-            tasks: [listening, leading, admin],
+            actor,
+            tasks: [listening, leadership, admin],
             traces,
             config,
         })
@@ -157,7 +157,7 @@
     ///
     /// Returns the number of requests still running when `within` had passed.
     pub async fn leave(&self, within: Duration) -> usize {
-        let cut_off = match self.desk.send(desk::Leave).await {
+        let cut_off = match self.actor.send(dispatch_actor::Leave).await {
             Ok(running) => drain::until_idle(running, within).await,
             Err(_) => 0,
         };
@@ -168,12 +168,12 @@
 
 fn limits(settings: &SidecarSettings) -> dispatch::Config {
     dispatch::Config {
-        max_running: FIRST_MOST_RUNNING,
-        max_queued: FIRST_MOST_QUEUED,
+        max_running: INITIAL_MAX_RUNNING,
+        max_queued: INITIAL_MAX_QUEUED,
         tickets: ticket_memory::Config {
             retention: Millis(settings.remember_ms),
             max_tickets: settings.remember_tickets as usize,
         },
-        gateway_retention: REMEMBER_GATEWAY,
+        gateway_retention: GATEWAY_RETENTION,
     }
 }
--- a/crates/hooktrestled/src/sidecar/desk.rs
+++ b/crates/hooktrestled/src/sidecar/dispatch_actor.rs
@@ -48,7 +48,7 @@
 use crate::sidecar::run::Job;
 use crate::sidecar::run::RunEnd;
 
-/// What a desk is made of.
+/// What an actor is made of.
 #[derive(Debug)]
 pub(super) struct Setup {
     pub(super) identity: Identity,
@@ -60,25 +60,25 @@
 
 /// The actor.
 #[derive(Debug, xtra::Actor)]
-pub struct Desk {
+pub struct DispatchActor {
     setup: Setup,
     dispatcher: Dispatcher,
     waiting: HashMap<RunKey, Job>,
     running: HashMap<RunKey, AbortHandle>,
     running_count: watch::Sender<usize>,
-    alarm: watch::Sender<Millis>,
+    next_due: watch::Sender<Millis>,
     config_version: u64,
     stopping: bool,
-    address: Option<WeakAddress<Desk>>,
+    address: Option<WeakAddress<DispatchActor>>,
 }
 
 /// A gateway has opened a link.
 #[derive(Debug)]
-pub(super) struct Linked(pub(super) Peer);
+pub(super) struct LinkOpened(pub(super) Peer);
 
 /// A link has closed.
 #[derive(Debug)]
-pub(super) struct Unlinked(pub(super) Link);
+pub(super) struct LinkEnded(pub(super) Link);
 
 /// A request has arrived.
 #[derive(Debug)]
@@ -106,21 +106,21 @@
 
 /// A run has ended.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct RunEnded {
     pub(super) key: RunKey,
     pub(super) end: RunEnd,
     pub(super) job: Job,
 }
 
-/// The backend server said how many requests it takes.
+/// The backend server advertised how many requests it takes.
 #[derive(Debug)]
-pub(super) struct Limit(pub(super) LimitAdvertisement);
+pub(super) struct ApplyLimit(pub(super) LimitAdvertisement);
 
 /// Something may be due.
 #[derive(Debug)]
 pub(super) struct Tick;
 
-/// What to tell gateways of the load.
+/// The load to report to gateways.
 #[derive(Debug)]
 pub(super) struct ReadLoad;
 
@@ -130,43 +130,47 @@
 
 /// Abort everything and end.
 #[derive(Debug)]
-pub(super) struct CutOff;
+pub(super) struct AbortAll;
 
 /// Starts the actor.
-pub(super) fn start(setup: Setup) -> Address<Desk> {
-    let alarm = watch::Sender::new(Millis::MAX);
-    let ringing = alarm.subscribe();
+pub(super) fn start(setup: Setup) -> Address<DispatchActor> {
+    let next_due = watch::Sender::new(Millis::MAX);
+    let due_changes = next_due.subscribe();
     let clock = setup.clock;
-    let desk = Desk {
+    let actor = DispatchActor {
         dispatcher: Dispatcher::new(setup.limits, setup.identity.incarnation),
         setup,
         waiting: HashMap::new(),
         running: HashMap::new(),
         running_count: watch::Sender::new(0),
-        alarm,
+        next_due,
         config_version: 0,
         stopping: false,
         address: None,
     };
     let (address, mailbox) = Mailbox::unbounded();
     let weak = address.downgrade();
-    let desk = Desk { address: Some(weak.clone()), ..desk };
-    tokio::spawn(xtra::run(mailbox, desk));
-    tokio::spawn(ring(weak, ringing, clock));
+    let actor = DispatchActor { address: Some(weak.clone()), ..actor };
+    tokio::spawn(xtra::run(mailbox, actor));
+    tokio::spawn(send_ticks(weak, due_changes, clock));
     address
 }
 
-/// Sends a tick whenever the moment that the desk last named has come.
-async fn ring(desk: WeakAddress<Desk>, mut alarm: watch::Receiver<Millis>, clock: ProcessClock) {
+/// Sends a tick whenever the moment that the actor last named has come.
+async fn send_ticks(
+    actor: WeakAddress<DispatchActor>,
+    mut next_due: watch::Receiver<Millis>,
+    clock: ProcessClock,
+) {
     loop {
-        let due = *alarm.borrow_and_update();
-        let changed = clock.timeout_at(due, alarm.changed()).await;
+        let due = *next_due.borrow_and_update();
+        let changed = clock.timeout_at(due, next_due.changed()).await;
         match changed {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return,
             Err(_) => {
-                let Some(desk) = desk.try_upgrade() else { return };
-                if desk.send(Tick).await.is_err() {
+                let Some(actor) = actor.try_upgrade() else { return };
+                if actor.send(Tick).await.is_err() {
                     return;
                 }
             }
@@ -174,20 +178,20 @@
     }
 }
 
-impl Desk {
+impl DispatchActor {
     fn now(&self) -> Millis {
         self.setup.clock.now()
     }
 
     /// Carries out all that is due.
-    fn pump(&mut self) {
+    fn process_due(&mut self) {
         let now = self.now();
         loop {
             match self.dispatcher.next(now) {
                 Next::Start(key) => self.start_run(key),
                 Next::Expire(key) => self.refuse(key, Refusal::not_run(Cause::DeadlinePassed)),
                 Next::Idle(until) => {
-                    self.alarm.send_replace(until);
+                    self.next_due.send_replace(until);
                     break;
                 }
             }
@@ -196,7 +200,7 @@
     }
 
     /// Takes over limits and drains from a new configuration.
-    fn follow_config(&mut self) {
+    fn apply_config(&mut self) {
         let in_force = self.setup.config.borrow().clone();
         let Some(in_force) = in_force else { return };
         let config = &in_force.config;
@@ -205,22 +209,22 @@
         }
         self.config_version = config.version;
         let Some(server) = config.server(&self.setup.identity.instance) else { return };
-        self.follow_server(config, server);
+        self.apply_server_config(config, server);
     }
 
-    fn follow_server(&mut self, config: &Config, server: Key<BackendServer>) {
+    fn apply_server_config(&mut self, config: &Config, server: Key<BackendServer>) {
         let record = &config.servers[server];
         let max_running = record.row.limit_running_requests as usize;
         let max_queued = config.services[record.service].row.queue_limit_requests as usize;
         self.dispatcher.set_limits(max_running, max_queued);
         if config.is_draining(server) && !self.dispatcher.is_leaving() {
-            self.give_back();
+            self.refuse_waiting();
         } else if !config.is_draining(server) && !self.stopping {
             self.dispatcher.stop_leaving();
         }
     }
 
-    fn give_back(&mut self) {
+    fn refuse_waiting(&mut self) {
         let now = self.now();
         for key in self.dispatcher.start_leaving(now) {
             self.refuse(key, Refusal::not_run(Cause::Leaving));
@@ -244,26 +248,27 @@
             return;
         };
         let backend = self.setup.backend.clone();
-        let desk = self.address.clone();
+        let actor = self.address.clone();
         let (clock, sent_at, is_limited) =
             (self.setup.clock, self.now(), self.dispatcher.is_limited());
-        let told = desk.clone();
-        let tell = async move |limit: Option<Rate>| {
+        let limit_receiver = actor.clone();
+        let report_limit = async move |limit: Option<Rate>| {
             if limit.is_none() && !is_limited {
                 return;
             }
-            let said = LimitAdvertisement { limit, earliest: sent_at, latest: clock.now() };
-            if let Some(desk) = told.and_then(|desk| desk.try_upgrade()) {
-                // A desk that has ended needs no limit.
-                let _ = desk.send(Limit(said)).await;
+            let advertisement =
+                LimitAdvertisement { limit, earliest: sent_at, latest: clock.now() };
+            if let Some(actor) = limit_receiver.and_then(|actor| actor.try_upgrade()) {
+                // An actor that has ended needs no limit.
+                let _ = actor.send(ApplyLimit(advertisement)).await;
             }
         };
         let task = tokio::spawn(async move {
             let mut job = job;
-            let end = run::run(&backend, &mut job, tell).await;
-            if let Some(desk) = desk.and_then(|desk| desk.try_upgrade()) {
-                // A desk that has ended needs no report.
-                let _ = desk.send(Ended { key, end, job }).await;
+            let end = run::run(&backend, &mut job, report_limit).await;
+            if let Some(actor) = actor.and_then(|actor| actor.try_upgrade()) {
+                // An actor that has ended needs no report.
+                let _ = actor.send(RunEnded { key, end, job }).await;
             }
         });
         self.running.insert(key, task.abort_handle());
@@ -273,7 +278,7 @@
     fn refuse(&mut self, key: RunKey, refusal: Refusal) {
         if let Some(job) = self.waiting.remove(&key) {
             let spent = job.frame.ticket.is_some();
-            post(&job.sender, refused(&job.frame, refusal, spent));
+            send_detached(&job.sender, refused(&job.frame, refusal, spent));
         }
     }
 
@@ -290,45 +295,48 @@
     }
 }
 
-impl Handler<Linked> for Desk {
+impl Handler<LinkOpened> for DispatchActor {
     type Return = Option<Link>;
 
-    async fn handle(&mut self, linked: Linked, _: &mut Context<Self>) -> Option<Link> {
+    async fn handle(&mut self, linked: LinkOpened, _: &mut Context<Self>) -> Option<Link> {
         let now = self.now();
         self.dispatcher.evict_unlinked(now);
         let name = hash::of(&linked.0.identity.instance);
-        let linking =
+        let opening =
             self.dispatcher.link(now, name, linked.0.identity.incarnation, linked.0.link_epoch);
-        let LinkOutcome::Open(link, abandoned) = linking else { return None };
+        let LinkOutcome::Open(link, abandoned) = opening else { return None };
         for key in abandoned {
             self.abort(key);
         }
-        self.pump();
+        self.process_due();
         Some(link)
     }
 }
 
-impl Handler<Unlinked> for Desk {
+impl Handler<LinkEnded> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, unlinked: Unlinked, _: &mut Context<Self>) {
+    async fn handle(&mut self, unlinked: LinkEnded, _: &mut Context<Self>) {
         let now = self.now();
         for key in self.dispatcher.unlink(now, unlinked.0) {
             self.abort(key);
         }
         self.waiting.retain(|_, job| !job.is_orphan());
-        self.pump();
+        self.process_due();
     }
 }
 
-impl Handler<Arrive> for Desk {
+impl Handler<Arrive> for DispatchActor {
     type Return = ();
 
     async fn handle(&mut self, arrive: Arrive, _: &mut Context<Self>) {
-        self.follow_config();
+        self.apply_config();
         let Arrive { link, job } = arrive;
         if !self.is_ready() {
-            post(&job.sender, refused(&job.frame, Refusal::not_run(Cause::NotReady), false));
+            send_detached(
+                &job.sender,
+                refused(&job.frame, Refusal::not_run(Cause::NotReady), false),
+            );
             return;
         }
         let now = self.now();
@@ -336,17 +344,17 @@
         match self.dispatcher.request(now, link, id, spec(&job.frame)) {
             Arrival::Queued(key) => {
                 self.waiting.insert(key, job);
-                self.pump();
+                self.process_due();
             }
             Arrival::Refuse { refusal, spent } => {
-                post(&job.sender, refused(&job.frame, refusal, spent));
+                send_detached(&job.sender, refused(&job.frame, refusal, spent));
             }
             Arrival::Drop => {}
         }
     }
 }
 
-impl Handler<Cancel> for Desk {
+impl Handler<Cancel> for DispatchActor {
     type Return = ();
 
     async fn handle(&mut self, cancel: Cancel, _: &mut Context<Self>) {
@@ -357,11 +365,11 @@
             CancelOutcome::Unknown => {}
         }
         self.dispatcher.acknowledge(cancel.0, cancel.1);
-        self.pump();
+        self.process_due();
     }
 }
 
-impl Handler<Settle> for Desk {
+impl Handler<Settle> for DispatchActor {
     type Return = ();
 
     async fn handle(&mut self, settle: Settle, _: &mut Context<Self>) {
@@ -369,13 +377,13 @@
         let verdict = self.dispatcher.settle(now, settle.link, settle.id, settle.ticket.as_ref());
         if let Some(verdict) = verdict {
             let id = settle.id.into();
-            post(&settle.sender, Frame::Settled(SettledFrame { id, verdict }));
+            send_detached(&settle.sender, Frame::Settled(SettledFrame { id, verdict }));
         }
-        self.pump();
+        self.process_due();
     }
 }
 
-impl Handler<Acknowledge> for Desk {
+impl Handler<Acknowledge> for DispatchActor {
     type Return = ();
 
     async fn handle(&mut self, acknowledge: Acknowledge, _: &mut Context<Self>) {
@@ -383,57 +391,57 @@
     }
 }
 
-impl Handler<Ended> for Desk {
+impl Handler<RunEnded> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, ended: Ended, _: &mut Context<Self>) {
+    async fn handle(&mut self, ended: RunEnded, _: &mut Context<Self>) {
         if self.running.remove(&ended.key).is_none() {
             return;
         }
         let now = self.now();
-        let Ended { key, end, job } = ended;
+        let RunEnded { key, end, job } = ended;
         match end {
-            RunEnd::Whole | RunEnd::LinkClosed => self.dispatcher.finished(now, key),
+            RunEnd::Complete | RunEnd::LinkClosed => self.dispatcher.finished(now, key),
             RunEnd::Failed(refusal) => {
                 self.dispatcher.finished(now, key);
-                post(&job.sender, refused(&job.frame, refusal, false));
+                send_detached(&job.sender, refused(&job.frame, refusal, false));
             }
             RunEnd::NotStarted(refusal, back_off) => {
                 self.dispatcher.not_started(now, key, job.frame.ticket.as_ref());
                 let spent = job.frame.ticket.is_some();
-                post(&job.sender, refused(&job.frame, refusal, spent));
+                send_detached(&job.sender, refused(&job.frame, refusal, spent));
                 if let Some(span) = back_off {
                     self.back_off(span);
                 }
             }
         }
-        self.pump();
+        self.process_due();
     }
 }
 
-impl Handler<Limit> for Desk {
+impl Handler<ApplyLimit> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, limit: Limit, _: &mut Context<Self>) {
+    async fn handle(&mut self, limit: ApplyLimit, _: &mut Context<Self>) {
         self.dispatcher.apply_limit(limit.0);
-        self.pump();
+        self.process_due();
     }
 }
 
-impl Handler<Tick> for Desk {
+impl Handler<Tick> for DispatchActor {
     type Return = ();
 
     async fn handle(&mut self, _: Tick, _: &mut Context<Self>) {
-        self.pump();
+        self.process_due();
     }
 }
 
-impl Handler<ReadLoad> for Desk {
+impl Handler<ReadLoad> for DispatchActor {
     type Return = LoadFrame;
 
     async fn handle(&mut self, _: ReadLoad, _: &mut Context<Self>) -> LoadFrame {
-        self.follow_config();
-        self.pump();
+        self.apply_config();
+        self.process_due();
         LoadFrame {
             now_ms: self.now().0,
             queued_requests: u32::try_from(self.dispatcher.queued()).unwrap_or(u32::MAX),
@@ -446,21 +454,21 @@
     }
 }
 
-impl Handler<Leave> for Desk {
+impl Handler<Leave> for DispatchActor {
     type Return = watch::Receiver<usize>;
 
     async fn handle(&mut self, _: Leave, _: &mut Context<Self>) -> watch::Receiver<usize> {
         self.stopping = true;
-        self.give_back();
-        self.pump();
+        self.refuse_waiting();
+        self.process_due();
         self.running_count.subscribe()
     }
 }
 
-impl Handler<CutOff> for Desk {
+impl Handler<AbortAll> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, _: CutOff, context: &mut Context<Self>) {
+    async fn handle(&mut self, _: AbortAll, context: &mut Context<Self>) {
         for task in self.running.values() {
             task.abort();
         }
@@ -489,8 +497,8 @@
     })
 }
 
-/// Sends without holding up the desk: a slow link must not delay other gateways' requests.
-fn post(sender: &Sender, frame: Frame) {
+/// Sends without holding up the actor: a slow link must not delay other gateways' requests.
+fn send_detached(sender: &Sender, frame: Frame) {
     let sender = sender.clone();
     tokio::spawn(async move { sender.send(&frame, &[]).await });
 }
--- a/crates/hooktrestled/src/sidecar/group.rs
+++ b/crates/hooktrestled/src/sidecar/group.rs
@@ -45,13 +45,13 @@
 const LEASES: &str = "leases";
 
 /// The lease is renewed so often in its time.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_LEASE: u32 = 4;
 
 /// Most weights that one plan loads.
-const MOST_LOADS: usize = 96;
+const MAX_LOADS: usize = 96;
 
 /// Longest time that popularity is expected to last.
-const LASTS_AT_MOST_MS: f64 = 15.0 * 60.0 * 1_000.0;
+const MAX_STABLE_MS: f64 = 15.0 * 60.0 * 1_000.0;
 
 /// What leading needs.
 #[derive(Clone, Debug)]
@@ -79,36 +79,36 @@
 pub(super) async fn lead(context: Context) {
     let holder = format!("{}/{:x}", context.identity.instance, context.identity.incarnation);
     let mut lease = Lease::new(holder.clone(), Millis(context.settings.lease_ms));
-    let mut leading: Option<Leading> = None;
+    let mut leadership: Option<Leadership> = None;
     loop {
-        sleep(jittered(millis(context.settings.lease_ms) / RENEWALS)).await;
+        sleep(jittered(millis(context.settings.lease_ms) / RENEWALS_PER_LEASE)).await;
         let Some(group) = group(&context) else {
-            leading = None;
+            leadership = None;
             continue;
         };
         if let Err(error) = renew(&context, &mut lease, &holder, &group.service).await {
             warn!("cannot renew the lease", kv: { error: = error.to_string().as_str() });
         }
         let Some(epoch) = lease.epoch(context.clock.now()) else {
-            leading = None;
+            leadership = None;
             continue;
         };
-        let changed = leading.as_ref().is_some_and(|now| now.group != group);
+        let changed = leadership.as_ref().is_some_and(|now| now.group != group);
         if changed {
-            leading = None;
+            leadership = None;
             lease.require_new_epoch();
             continue;
         }
-        if leading.as_ref().is_none_or(|now| now.epoch != epoch) {
+        if leadership.as_ref().is_none_or(|now| now.epoch != epoch) {
             info!("leading", kv: { service: = group.service.as_str(), epoch });
-            leading = Some(Leading::new(&context, group, epoch));
+            leadership = Some(Leadership::new(&context, group, epoch));
         }
-        if let Some(now) = &mut leading
-            && let Err(error) = now.work(&context).await
+        if let Some(now) = &mut leadership
+            && let Err(error) = now.run_due(&context).await
         {
             // Begins anew, under the next epoch: what the ranks know is all that counts.
             warn!("cannot lead for now", kv: { error: = error.to_string().as_str() });
-            leading = None;
+            leadership = None;
             lease.require_new_epoch();
         }
     }
@@ -131,7 +131,7 @@
 
 async fn renew(context: &Context, lease: &mut Lease, holder: &str, service: &str) -> Result<()> {
     let row = context.platform.row(LEASES, service).await?;
-    let seen = match row {
+    let observed = match row {
         None => None,
         Some(row) => {
             let LeaseRow { holder, epoch } = serde_json::from_value(row.value)?;
@@ -139,7 +139,7 @@
         }
     };
     let began = context.clock.now();
-    let Next::Write { if_version, epoch } = lease.observe_row(began, seen.as_ref()) else {
+    let Next::Write { if_version, epoch } = lease.observe_row(began, observed.as_ref()) else {
         return Ok(());
     };
     let (table, key) = (LEASES.to_owned(), service.to_owned());
@@ -155,7 +155,7 @@
 
 /// One time of leading.
 #[derive(Debug)]
-struct Leading {
+struct Leadership {
     epoch: u64,
     group: Group,
     session: Session,
@@ -163,38 +163,38 @@
     layout: Option<Layout>,
     popularity: Popularity,
     planner: Planner,
-    counted: Vec<f64>,
+    previous_counts: Vec<f64>,
     plan_at: Millis,
 }
 
-impl Leading {
-    fn new(context: &Context, group: Group, epoch: u64) -> Leading {
+impl Leadership {
+    fn new(context: &Context, group: Group, epoch: u64) -> Leadership {
         let ballot = Ballot { number: epoch, proposer: 0 };
         let experts = group.row.experts_per_layer as usize;
         let planner = placement::Config {
             weight_skew: group.row.weight_skew,
             weight_rebalance: group.row.weight_rebalance,
             load_ms: context.settings.load_ms as f64,
-            max_loads: MOST_LOADS,
+            max_loads: MAX_LOADS,
         };
-        Leading {
+        Leadership {
             epoch,
             session: Session::new(context, ballot, &group.members),
             layout: None,
             popularity: Popularity::new(popularity::Config::default(), experts),
             planner: Planner::new(planner),
-            counted: vec![0.0; experts],
+            previous_counts: vec![0.0; experts],
             plan_at: Millis::ZERO,
             group,
         }
     }
 
     /// Does what is due: joins the ranks, or plans and switches.
-    async fn work(&mut self, context: &Context) -> Result<()> {
+    async fn run_due(&mut self, context: &Context) -> Result<()> {
         let within = millis(context.settings.switch_ms);
         if self.layout.is_none() {
             let columns = self.session.join(context, within).await?;
-            self.layout = Some(layout(&columns, self.counted.len())?);
+            self.layout = Some(layout(&columns, self.previous_counts.len())?);
         }
         let now = context.clock.now();
         if now < self.plan_at {
@@ -207,25 +207,25 @@
     async fn plan(&mut self, context: &Context, within: Duration) -> Result<()> {
         let counts = context.backend.counts().await?;
         self.session.observe_step(counts.step_number);
-        let fresh: Vec<f64> = counts
+        let new_counts: Vec<f64> = counts
             .tokens
             .iter()
-            .zip(&self.counted)
+            .zip(&self.previous_counts)
             .map(|(new, old)| (new - old).max(0.0))
             .collect();
         eyre::ensure!(
-            fresh.len() == self.counted.len(),
+            new_counts.len() == self.previous_counts.len(),
             "the engine counts {} experts",
-            fresh.len()
+            new_counts.len()
         );
-        self.counted = counts.tokens;
-        self.popularity.observe(&fresh);
+        self.previous_counts = counts.tokens;
+        self.popularity.observe(&new_counts);
         let Some(old) = &self.layout else { return Ok(()) };
         let mut new = old.clone();
-        let lasted_ms = self.popularity.stable_counts() * context.settings.plan_ms as f64;
-        let lasts_ms = lasted_ms.min(LASTS_AT_MOST_MS);
+        let stable_ms = self.popularity.stable_counts() * context.settings.plan_ms as f64;
+        let expected_stable_ms = stable_ms.min(MAX_STABLE_MS);
         let shares = self.popularity.shares();
-        let moves = self.planner.plan(&mut new, shares, &[], lasts_ms);
+        let moves = self.planner.plan(&mut new, shares, &[], expected_stable_ms);
         if moves.is_empty() {
             return Ok(());
         }
@@ -258,8 +258,8 @@
         eyre::ensure!(fits && known, "rank {rank} has {column:?}, of {experts} experts");
     }
     for expert in (0..experts).map(|index| placement::Expert(index as u16)) {
-        let stands = columns.iter().any(|column| column.contains(&expert));
-        eyre::ensure!(stands, "{expert:?} stands on no rank");
+        let is_placed = columns.iter().any(|column| column.contains(&expert));
+        eyre::ensure!(is_placed, "{expert:?} stands on no rank");
     }
     Ok(Layout::from_ranks(experts, &columns))
 }
--- a/crates/hooktrestled/src/sidecar/group/session.rs
+++ b/crates/hooktrestled/src/sidecar/group/session.rs
@@ -30,7 +30,7 @@
 use crate::sidecar::group::Context;
 
 /// Wait for answers before the orders are given again.
-const REPEAT_AFTER: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One rank's sidecar.
 #[derive(Debug)]
@@ -143,17 +143,17 @@
             }
             if phase != Some(self.leader.phase_number()) {
                 phase = Some(self.leader.phase_number());
-                self.give_orders(context).await;
+                self.send_orders(context).await;
             }
-            match timeout(REPEAT_AFTER, self.replies.recv()).await {
-                Ok(Some((rank, reply))) => self.take(rank, &reply),
+            match timeout(RESEND_INTERVAL, self.replies.recv()).await {
+                Ok(Some((rank, reply))) => self.apply_reply(rank, &reply),
                 Ok(None) => bail!("the session has ended"),
                 Err(_) => phase = None,
             }
         }
     }
 
-    fn take(&mut self, rank: usize, reply: &MapReply) {
+    fn apply_reply(&mut self, rank: usize, reply: &MapReply) {
         if let MapReply::Joined(joined) = reply {
             self.members[rank].experts.clone_from(&joined.experts);
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    async fn give_orders(&mut self, context: &Context) {
+    async fn send_orders(&mut self, context: &Context) {
         let mut orders: Vec<(usize, Order)> = Vec::new();
         self.leader.send(|rank, order| orders.push((rank, order)));
         for (rank, order) in orders {
@@ -179,7 +179,7 @@
     /// The link to a rank's sidecar, opened if need be.
     async fn link(&mut self, context: &Context, rank: usize) -> Option<Sender> {
         let replied = self.replied.clone();
-        let beat = HeartbeatFrame { config_version: self.heartbeat_version };
+        let heartbeat = HeartbeatFrame { config_version: self.heartbeat_version };
         let member = &mut self.members[rank];
         if let Some(link) = &member.link
             && !link.reading.is_finished()
@@ -188,13 +188,13 @@
         }
         let address = directory::address(&context.directory, &member.name)?;
         member.link_epoch += 1;
-        let dialled =
+        let dialling =
             hooktrestle_link::dial(&context.link, &context.identity, address, member.link_epoch);
-        let Opened { peer, sender, receiver } = dialled.await.ok()?;
+        let Opened { peer, sender, receiver } = dialling.await.ok()?;
         if peer.identity.instance != member.name {
             return None;
         }
-        let reading = tokio::spawn(read(receiver, rank, replied, sender.clone(), beat));
+        let reading = tokio::spawn(read(receiver, rank, replied, sender.clone(), heartbeat));
         member.link = Some(Link { sender: sender.clone(), reading: reading.abort_handle() });
         Some(sender)
     }
@@ -207,15 +207,15 @@
     rank: usize,
     replied: mpsc::UnboundedSender<(usize, MapReply)>,
     sender: Sender,
-    beat: HeartbeatFrame,
+    heartbeat: HeartbeatFrame,
 ) {
     while let Ok((frame, _)) = receiver.next().await {
-        let goes_on = match frame {
+        let is_open = match frame {
             Frame::MapReply(frame) => replied.send((rank, frame.reply)).is_ok(),
-            Frame::Load(_) => sender.send(&Frame::Heartbeat(beat.clone()), &[]).await.is_ok(),
+            Frame::Load(_) => sender.send(&Frame::Heartbeat(heartbeat.clone()), &[]).await.is_ok(),
             _ => true,
         };
-        if !goes_on {
+        if !is_open {
             return;
         }
     }
--- a/crates/hooktrestled/src/sidecar/links.rs
+++ b/crates/hooktrestled/src/sidecar/links.rs
@@ -25,22 +25,22 @@
 
 use crate::config_keeper;
 use crate::config_keeper::ConfigKeeper;
-use crate::sidecar::desk;
-use crate::sidecar::desk::Desk;
+use crate::sidecar::dispatch_actor;
+use crate::sidecar::dispatch_actor::DispatchActor;
 use crate::sidecar::run::Backend;
-use crate::sidecar::run::BodyPiece;
+use crate::sidecar::run::BodyChunk;
 use crate::sidecar::run::Job;
 use crate::spread::Spread;
 
 /// Connections whose peer has not proved itself yet; more wait to be accepted.
-const MOST_STRANGERS: usize = 64;
+const MAX_UNAUTHENTICATED: usize = 64;
 
 /// What every link needs.
 #[derive(Clone, Debug)]
 pub(super) struct Context {
     pub(super) link: hooktrestle_link::Config,
     pub(super) identity: Identity,
-    pub(super) desk: Address<Desk>,
+    pub(super) actor: Address<DispatchActor>,
     pub(super) keeper: Address<ConfigKeeper>,
     pub(super) config: config_keeper::Watch,
     pub(super) heartbeat: Duration,
@@ -49,16 +49,16 @@
 
 /// What the reader of a link keeps of a request that it has passed on.
 #[derive(Debug)]
-struct Open {
-    body: mpsc::UnboundedSender<BodyPiece>,
+struct OpenRequest {
+    body: mpsc::UnboundedSender<BodyChunk>,
     credit: Arc<Semaphore>,
 }
 
 /// Accepts links for ever.
 pub(super) async fn accept_all(listener: TcpListener, context: Context) {
-    let strangers = Arc::new(Semaphore::new(MOST_STRANGERS));
+    let unauthenticated = Arc::new(Semaphore::new(MAX_UNAUTHENTICATED));
     loop {
-        let Ok(permit) = Arc::clone(&strangers).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&unauthenticated).acquire_owned().await else { return };
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
@@ -86,7 +86,7 @@
         }
     };
     let peer = opened.peer.clone();
-    let link = context.desk.send(desk::Linked(peer)).await.ok().flatten()?;
+    let link = context.actor.send(dispatch_actor::LinkOpened(peer)).await.ok().flatten()?;
     Some((opened, link))
 }
 
@@ -94,20 +94,20 @@
     let Opened { peer, sender, mut receiver } = opened;
     let gateway = peer.identity.instance;
     info!("link open", kv: { gateway: = gateway.as_str() });
-    let beating = tokio::spawn(beat(context.clone(), sender.clone()));
+    let load_reports = tokio::spawn(send_load_reports(context.clone(), sender.clone()));
     let reason = tokio::select! {
         error = read(context, &mut receiver, &sender, link) => error.to_string(),
-        () = context.desk.join() => "the sidecar has ended".to_owned(),
+        () = context.actor.join() => "the sidecar has ended".to_owned(),
     };
-    beating.abort();
+    load_reports.abort();
     info!("link closed", kv: { gateway: = gateway.as_str(), reason: = reason.as_str() });
-    // A desk that has ended has no requests of this link.
-    let _ = context.desk.send(desk::Unlinked(link)).await;
+    // An actor that has ended has no requests of this link.
+    let _ = context.actor.send(dispatch_actor::LinkEnded(link)).await;
 }
 
 /// Sends the load at once, then every heartbeat.
-async fn beat(context: Context, sender: Sender) {
-    while let Ok(load) = context.desk.send(desk::ReadLoad).await {
+async fn send_load_reports(context: Context, sender: Sender) {
+    while let Ok(load) = context.actor.send(dispatch_actor::ReadLoad).await {
         if sender.send(&Frame::Load(load), &[]).await.is_err() {
             return;
         }
@@ -122,7 +122,7 @@
     sender: &Sender,
     link: Link,
 ) -> hooktrestle_link::Error {
-    let mut open: HashMap<RequestId, Open> = HashMap::new();
+    let mut open: HashMap<RequestId, OpenRequest> = HashMap::new();
     let mut spread = Spread::new(context.config.clone(), context.keeper.clone(), sender.clone());
     loop {
         let (frame, payload) = match receiver.next().await {
@@ -133,14 +133,14 @@
         match frame {
             Frame::Request(frame) => {
                 let id = RequestId::from(&frame.id);
-                let (job, kept) = job(frame, sender);
-                open.insert(id, kept);
-                send(context, desk::Arrive { link, job }).await;
+                let (job, open_request) = job(frame, sender);
+                open.insert(id, open_request);
+                send(context, dispatch_actor::Arrive { link, job }).await;
             }
             Frame::Body(body) => {
                 if let Some(open) = open.get(&RequestId::from(&body.id)) {
                     // A run that has ended reads no more of its body.
-                    let _ = open.body.send(BodyPiece { bytes: payload, last: body.last });
+                    let _ = open.body.send(BodyChunk { bytes: payload, last: body.last });
                 }
             }
             Frame::Credit(credit) => {
@@ -151,18 +151,19 @@
             Frame::Cancel(frame) => {
                 let id = RequestId::from(&frame.id);
                 open.remove(&id);
-                send(context, desk::Cancel(link, id)).await;
+                send(context, dispatch_actor::Cancel(link, id)).await;
             }
             Frame::Settle(frame) => {
                 let id = RequestId::from(&frame.id);
                 let sender = sender.clone();
-                send(context, desk::Settle { link, id, ticket: frame.ticket, sender }).await;
+                send(context, dispatch_actor::Settle { link, id, ticket: frame.ticket, sender })
+                    .await;
             }
             Frame::Ack(frame) => {
-                send(context, desk::Acknowledge(link, RequestId::from(&frame.id))).await;
+                send(context, dispatch_actor::Acknowledge(link, RequestId::from(&frame.id))).await;
             }
             Frame::Heartbeat(heartbeat) => spread.heard(heartbeat.config_version).await,
-            Frame::MapOrder(frame) => pass_on(context, sender, frame.order),
+            Frame::MapOrder(frame) => forward_order(context, sender, frame.order),
             Frame::ConfigAsk(ask) => spread.asked(&ask).await,
             Frame::ConfigPart(part) => spread.part(&part, &payload).await,
             _ => {}
@@ -174,7 +175,7 @@
 ///
 /// A server that keeps no fence gets no orders yet: a restarted sidecar could not tell which of
 /// them are out of date.
-fn pass_on(context: &Context, sender: &Sender, order: MapOrder) {
+fn forward_order(context: &Context, sender: &Sender, order: MapOrder) {
     let own = &context.identity.instance;
     let keeps_fence = context.config.borrow().as_ref().is_some_and(|in_force| {
         let server = in_force.config.server(own);
@@ -188,12 +189,12 @@
     });
 }
 
-fn job(frame: RequestFrame, sender: &Sender) -> (Job, Open) {
+fn job(frame: RequestFrame, sender: &Sender) -> (Job, OpenRequest) {
     let (body, pieces) = mpsc::unbounded_channel();
     let credit = Arc::new(Semaphore::new(0));
     add_credit(&credit, frame.credit_bytes);
-    let kept = Open { body, credit: Arc::clone(&credit) };
-    (Job { frame, sender: sender.clone(), body: Some(pieces), credit }, kept)
+    let open_request = OpenRequest { body, credit: Arc::clone(&credit) };
+    (Job { frame, sender: sender.clone(), body: Some(pieces), credit }, open_request)
 }
 
 /// Adds credit, up to what a semaphore can hold: a peer cannot make it panic.
@@ -205,8 +206,8 @@
 
 async fn send<M: Send + 'static>(context: &Context, message: M)
 where
-    Desk: xtra::Handler<M, Return = ()>,
+    DispatchActor: xtra::Handler<M, Return = ()>,
 {
-    // A desk that has ended cuts its links off; the reader then ends by itself.
-    let _ = context.desk.send(message).await;
+    // An actor that has ended cuts its links off; the reader then ends by itself.
+    let _ = context.actor.send(message).await;
 }
--- a/crates/hooktrestled/src/sidecar/run.rs
+++ b/crates/hooktrestled/src/sidecar/run.rs
@@ -41,11 +41,11 @@
 /// Header by which a backend server names how many requests a second it takes.
 const LIMIT_HEADER: &str = "x-hooktrestle-limit";
 
-/// Largest piece of an answer in one frame.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Largest chunk of an answer in one frame.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Longest wait for a connection to the backend server beside us.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The end of a whole stream of server-sent events.
 const STREAM_END: &[u8] = b"data: [DONE]";
@@ -58,9 +58,9 @@
     traces: Traces,
 }
 
-/// A piece of a request's body.
+/// A chunk of a request's body.
 #[derive(Debug)]
-pub(super) struct BodyPiece {
+pub(super) struct BodyChunk {
     pub(super) bytes: Bytes,
     pub(super) last: bool,
 }
@@ -71,7 +71,7 @@
     pub(super) frame: RequestFrame,
     pub(super) sender: Sender,
     /// Taken when the run starts.
-    pub(super) body: Option<mpsc::UnboundedReceiver<BodyPiece>>,
+    pub(super) body: Option<mpsc::UnboundedReceiver<BodyChunk>>,
     /// Answer bytes that may be sent.
     pub(super) credit: Arc<Semaphore>,
 }
@@ -87,7 +87,7 @@
 #[derive(Debug)]
 pub(super) enum RunEnd {
     /// The whole answer has been handed to the link.
-    Whole,
+    Complete,
     /// The backend server refused it before running any of it; it may have asked to be sent nothing for a
     /// while.
     NotStarted(Refusal, Option<Millis>),
@@ -102,7 +102,7 @@
     pub(super) fn new(base_url: &str, traces: Traces) -> Result<Backend> {
         let http = reqwest::Client::builder()
             .no_proxy()
-            .connect_timeout(CONNECT_WITHIN)
+            .connect_timeout(CONNECT_TIMEOUT)
             .redirect(reqwest::redirect::Policy::none())
             .build()?;
         Ok(Backend { http, base_url: base_url.trim_end_matches('/').to_owned(), traces })
@@ -133,11 +133,11 @@
 pub(super) async fn run(
     backend: &Backend,
     job: &mut Job,
-    tell: impl AsyncFnOnce(Option<Rate>),
+    report_limit: impl AsyncFnOnce(Option<Rate>),
 ) -> RunEnd {
     let service = KeyValue::new("hooktrestle.service", job.frame.service.clone());
-    let before = &job.frame.traceparent;
-    let hop = backend.traces.hop("sidecar", SpanKind::Client, before, vec![service]);
+    let parent = &job.frame.traceparent;
+    let hop = backend.traces.hop("sidecar", SpanKind::Client, parent, vec![service]);
     let response = match send(backend, job, &hop).await {
         Ok(response) => response,
         Err(error) if error.is_connect() || error.is_builder() => {
@@ -146,17 +146,17 @@
         // Sent, at least in part, and no answer: nobody knows.
         Err(_) => return RunEnd::Failed(Refusal::may_have_run(Cause::BackendFailed)),
     };
-    let named = response.headers().get(LIMIT_HEADER).map(|value| value.to_str().unwrap_or(""));
-    match named.map(Rate::from_text) {
-        Some(Some(limit)) => tell(Some(limit)).await,
+    let advertised = response.headers().get(LIMIT_HEADER).map(|value| value.to_str().unwrap_or(""));
+    match advertised.map(Rate::from_text) {
+        Some(Some(limit)) => report_limit(Some(limit)).await,
         // A text that is no number says nothing.
         Some(None) => {}
-        None if response.status().is_success() => tell(None).await,
+        None if response.status().is_success() => report_limit(None).await,
         None => {}
     }
     if response.headers().contains_key(NOT_RUN_HEADER) {
-        let asked = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
-        let rest = asked.and_then(server_notices::parse_back_off);
+        let retry_after = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
+        let rest = retry_after.and_then(server_notices::parse_back_off);
         return RunEnd::NotStarted(Refusal::not_run(Cause::BackendRefused), rest);
     }
     answer(job, response).await
@@ -177,23 +177,23 @@
     request.body(body(job)).send().await
 }
 
-/// The request's body as it arrives; each piece that is read gives its credit back.
+/// The request's body as it arrives; each chunk that is read gives its credit back.
 fn body(job: &mut Job) -> reqwest::Body {
-    let Some(pieces) = job.body.take() else { return reqwest::Body::default() };
+    let Some(chunks) = job.body.take() else { return reqwest::Body::default() };
     let sender = job.sender.clone();
     let id = job.frame.id.clone();
-    let state = Some((pieces, sender, id));
+    let state = Some((chunks, sender, id));
     let bytes = stream::unfold(state, |state| async move {
-        let (mut pieces, sender, id) = state?;
-        let Some(piece) = pieces.recv().await else {
+        let (mut chunks, sender, id) = state?;
+        let Some(chunk) = chunks.recv().await else {
             let cut_off = std::io::Error::other("the caller's body was cut off");
             return Some((Err(cut_off), None));
         };
-        let credit = CreditFrame { id: id.clone(), more_bytes: piece.bytes.len() as u64 };
-        // A closed link ends the pieces as well.
+        let credit = CreditFrame { id: id.clone(), more_bytes: chunk.bytes.len() as u64 };
+        // A closed link ends the chunks as well.
         let _ = sender.send(&Frame::Credit(credit), &[]).await;
-        let rest = if piece.last { None } else { Some((pieces, sender, id)) };
-        Some((Ok(piece.bytes), rest))
+        let rest = if chunk.last { None } else { Some((chunks, sender, id)) };
+        Some((Ok(chunk.bytes), rest))
     });
     reqwest::Body::wrap_stream(bytes)
 }
@@ -208,37 +208,37 @@
     if job.sender.send(&Frame::Head(head), &[]).await.is_err() {
         return RunEnd::LinkClosed;
     }
-    let mut out = Out { job, sequence: 0, tail: Vec::new() };
-    let mut pieces = response.bytes_stream();
-    while let Some(piece) = pieces.next().await {
-        let Ok(piece) = piece else {
+    let mut out = AnswerWriter { job, sequence: 0, tail: Vec::new() };
+    let mut chunks = response.bytes_stream();
+    while let Some(chunk) = chunks.next().await {
+        let Ok(chunk) = chunk else {
             return RunEnd::Failed(Refusal::ran(Cause::BackendFailed));
         };
-        if !out.send(piece).await {
+        if !out.send(chunk).await {
             return RunEnd::LinkClosed;
         }
     }
-    if is_stream && !out.saw_end() {
+    if is_stream && !out.has_stream_end() {
         return RunEnd::Failed(Refusal::ran(Cause::BackendFailed));
     }
-    if out.finish().await { RunEnd::Whole } else { RunEnd::LinkClosed }
+    if out.finish().await { RunEnd::Complete } else { RunEnd::LinkClosed }
 }
 
 /// An answer on its way out.
-struct Out<'a> {
+struct AnswerWriter<'a> {
     job: &'a Job,
     sequence: u64,
     /// The last bytes sent, to recognise the end of a stream of events.
     tail: Vec<u8>,
 }
 
-impl Out<'_> {
-    /// Sends a piece as credit allows; `false` when the link has closed.
+impl AnswerWriter<'_> {
+    /// Sends a chunk as credit allows; `false` when the link has closed.
     async fn send(&mut self, mut bytes: Bytes) -> bool {
-        self.remember(&bytes);
+        self.update_tail(&bytes);
         while !bytes.is_empty() {
-            let piece = bytes.split_to(bytes.len().min(PIECE_BYTES));
-            let need = u32::try_from(piece.len()).unwrap_or(u32::MAX);
+            let chunk = bytes.split_to(bytes.len().min(MAX_CHUNK_BYTES));
+            let need = u32::try_from(chunk.len()).unwrap_or(u32::MAX);
             let credit = tokio::select! {
                 credit = self.job.credit.acquire_many(need) => credit,
                 () = self.job.sender.closed() => return false,
@@ -247,7 +247,7 @@
                 Ok(credit) => credit.forget(),
                 Err(_) => return false,
             }
-            if !self.frame(&piece, false).await {
+            if !self.frame(&chunk, false).await {
                 return false;
             }
         }
@@ -267,14 +267,14 @@
         self.job.sender.send(&frame, payload).await.is_ok()
     }
 
-    fn remember(&mut self, bytes: &[u8]) {
+    fn update_tail(&mut self, bytes: &[u8]) {
         let keep = 2 * STREAM_END.len();
         self.tail.extend_from_slice(&bytes[bytes.len().saturating_sub(keep)..]);
         let extra = self.tail.len().saturating_sub(keep);
         self.tail.drain(..extra);
     }
 
-    fn saw_end(&self) -> bool {
+    fn has_stream_end(&self) -> bool {
         self.tail.windows(STREAM_END.len()).any(|window| window == STREAM_END)
     }
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -37,9 +37,9 @@
     /// Shared keys.
     pub keys: Keys,
     /// Largest message that is read, in bytes.
-    pub frame_limit: usize,
+    pub max_message_bytes: usize,
     /// Silence after which the peer counts as gone; also the longest wait while opening.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
 }
 
 /// Who a process says it is.
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub struct Receiver {
     stream: SplitStream<Socket>,
-    silence: Duration,
+    silence_timeout: Duration,
 }
 
 impl Receiver {
@@ -130,9 +130,9 @@
     /// The link is closed, broken or silent, or the peer sent nonsense.
     pub async fn next(&mut self) -> Result<(Frame, Bytes), Error> {
         loop {
-            let message = timeout(self.silence, self.stream.next())
+            let message = timeout(self.silence_timeout, self.stream.next())
                 .await
-                .map_err(|_| Error::new(ErrorKind::Silent))?
+                .map_err(|_| Error::new(ErrorKind::TimedOut))?
                 .ok_or_else(|| Error::new(ErrorKind::Closed))??;
             match message {
                 Message::Binary(bytes) => return codec::decode(bytes),
@@ -158,7 +158,7 @@
     link_epoch: u64,
 ) -> Result<Opened, Error> {
     let opening = dial_unbounded(config, identity, address, link_epoch);
-    timeout(config.silence, opening).await.map_err(|_| Error::new(ErrorKind::Silent))?
+    timeout(config.silence_timeout, opening).await.map_err(|_| Error::new(ErrorKind::TimedOut))?
 }
 
 /// Opens a link on a connection that was accepted.
@@ -172,7 +172,7 @@
     stream: TcpStream,
 ) -> Result<Opened, Error> {
     let opening = accept_unbounded(config, identity, stream);
-    timeout(config.silence, opening).await.map_err(|_| Error::new(ErrorKind::Silent))?
+    timeout(config.silence_timeout, opening).await.map_err(|_| Error::new(ErrorKind::TimedOut))?
 }
 
 async fn dial_unbounded(
@@ -188,7 +188,7 @@
     let opened = tokio_tungstenite::client_async_with_config(url, stream, limits).await;
     let (socket, _) = opened?;
     let (mut sink, stream) = socket.split();
-    let mut receiver = Receiver { stream, silence: config.silence };
+    let mut receiver = Receiver { stream, silence_timeout: config.silence_timeout };
     let (Frame::Challenge(challenge), _) = receiver.next().await? else {
         return Err(Error::new(ErrorKind::Unexpected("a challenge")));
     };
@@ -207,7 +207,7 @@
     let limits = Some(limits(config));
     let socket = tokio_tungstenite::accept_async_with_config(stream, limits).await?;
     let (mut sink, stream) = socket.split();
-    let mut receiver = Receiver { stream, silence: config.silence };
+    let mut receiver = Receiver { stream, silence_timeout: config.silence_timeout };
     let challenge = ChallengeFrame {
         nonce_hex: format!("{:032x}", rand::rng().random::<u128>()),
         instance: identity.instance.clone(),
@@ -277,6 +277,6 @@
 
 fn limits(config: &Config) -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(config.frame_limit))
-        .max_frame_size(Some(config.frame_limit))
+        .max_message_size(Some(config.max_message_bytes))
+        .max_frame_size(Some(config.max_message_bytes))
 }
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -15,7 +15,7 @@
     Malformed(String),
     WrongProof,
     Unexpected(&'static str),
-    Silent,
+    TimedOut,
     Closed,
 }
 
@@ -25,7 +25,7 @@
     }
 
     /// Whether the peer does not have the shared key.
-    pub fn is_stranger(&self) -> bool {
+    pub fn is_wrong_key(&self) -> bool {
         matches!(self.kind, ErrorKind::WrongProof)
     }
 }
@@ -40,7 +40,7 @@
                 f.write_str("link: the peer does not know the shared key; compare [links] keys")
             }
             ErrorKind::Unexpected(wanted) => write!(f, "link: expected {wanted}"),
-            ErrorKind::Silent => f.write_str("link: the peer has been silent for too long"),
+            ErrorKind::TimedOut => f.write_str("link: the peer has been silent for too long"),
             ErrorKind::Closed => f.write_str("link: closed"),
         }
     }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! # Limits
 //!
-//! Frames are bounded by [`Config::frame_limit`]; a peer that is silent for [`Config::silence`]
+//! Frames are bounded by [`Config::max_message_bytes`]; a peer that is silent for [`Config::silence_timeout`]
 //! counts as gone. Flow control for each request is the caller's, by `Credit` frames.
 
 pub mod auth;
--- a/crates/link/tests/links.rs
+++ b/crates/link/tests/links.rs
@@ -15,7 +15,7 @@
 
 fn config() -> Config {
     let keys = Keys::parse("key").unwrap();
-    Config { keys, frame_limit: 1 << 20, silence: Duration::from_secs(20) }
+    Config { keys, max_message_bytes: 1 << 20, silence_timeout: Duration::from_secs(20) }
 }
 
 fn identity(instance: &str) -> Identity {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -21,13 +21,13 @@
 
 /// Table that holds a row for each transaction, by operation id, so that a lost answer can be
 /// settled.
-pub const OPERATIONS: &str = "operations";
+pub const OPERATIONS_TABLE: &str = "operations";
 
 /// How often a lost answer is asked for before the call counts as failed.
-const SETTLE_ATTEMPTS: u32 = 5;
+const RESOLVE_ATTEMPTS: u32 = 5;
 
 /// First wait between two such questions; it doubles.
-const SETTLE_BACKOFF: Duration = Duration::from_millis(50);
+const INITIAL_RESOLVE_DELAY: Duration = Duration::from_millis(50);
 
 /// Where the platform's services are.
 #[derive(Clone, Debug)]
@@ -138,7 +138,7 @@
         match self.send(Transaction { checks: all_checks, writes: all_writes }).await {
             Ok(answer) if answer.committed => Ok(Committed { revision: answer.revision }),
             Ok(answer) => Err(Error::conflict("transaction", answer.conflicts)),
-            Err(error) if error.is_outage() => self.settle(&id, error).await,
+            Err(error) if error.is_outage() => self.resolve_outcome(&id, error).await,
             Err(error) => Err(error),
         }
     }
@@ -174,16 +174,16 @@
         }
     }
 
-    /// The instance list; it lags. `known` is the tag of the list that the caller has: if it is
+    /// The instance list; it lags. `known_tag` is the tag of the list that the caller has: if it is
     /// still that one, it is not sent again.
     ///
     /// # Errors
     ///
     /// An outage or a malformed answer.
-    pub async fn instances(&self, known: Option<&str>) -> Result<Listing, Error> {
+    pub async fn instances(&self, known_tag: Option<&str>) -> Result<Listing, Error> {
         let what = "instance list";
         let mut request = self.http.get(&self.config.instances_url);
-        if let Some(tag) = known {
+        if let Some(tag) = known_tag {
             request = request.header(IF_NONE_MATCH, tag);
         }
         let sent = request.send().await;
@@ -197,9 +197,9 @@
         Ok(Listing::Changed { instances: decode(what, response).await?, tag })
     }
 
-    async fn settle(&self, id: &str, lost: Error) -> Result<Committed, Error> {
-        let mut wait = SETTLE_BACKOFF;
-        for _ in 0..SETTLE_ATTEMPTS {
+    async fn resolve_outcome(&self, id: &str, lost: Error) -> Result<Committed, Error> {
+        let mut wait = INITIAL_RESOLVE_DELAY;
+        for _ in 0..RESOLVE_ATTEMPTS {
             let (check, write) = operation_guard(id);
             match self.send(Transaction { checks: vec![check], writes: vec![write] }).await {
                 Ok(answer) if answer.committed => return Err(lost),
@@ -208,7 +208,7 @@
             }
             wait *= 2;
         }
-        Err(Error::unsettled("transaction"))
+        Err(Error::outcome_unknown("transaction"))
     }
 
     async fn send(&self, transaction: Transaction) -> Result<TransactionAnswer, Error> {
@@ -232,7 +232,7 @@
 }
 
 fn operation_guard(id: &str) -> (RowCheck, RowWrite) {
-    let table = OPERATIONS.to_owned();
+    let table = OPERATIONS_TABLE.to_owned();
     let check = RowCheck { table: table.clone(), key: id.to_owned(), version: 0 };
     (check, RowWrite { table, key: id.to_owned(), value: Value::Bool(true) })
 }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -17,7 +17,7 @@
     Refused(u16),
     Malformed(String),
     Conflict(Vec<RowCheck>),
-    Unsettled,
+    OutcomeUnknown,
 }
 
 impl Error {
@@ -37,14 +37,14 @@
         Error { kind: ErrorKind::Conflict(conflicts), what: what.to_owned() }
     }
 
-    pub(crate) fn unsettled(what: &str) -> Error {
-        Error { kind: ErrorKind::Unsettled, what: what.to_owned() }
+    pub(crate) fn outcome_unknown(what: &str) -> Error {
+        Error { kind: ErrorKind::OutcomeUnknown, what: what.to_owned() }
     }
 
     /// Whether a transaction may or may not have taken effect. Every other error means that it
     /// has not and will not.
-    pub fn is_unsettled(&self) -> bool {
-        matches!(self.kind, ErrorKind::Unsettled)
+    pub fn is_outcome_unknown(&self) -> bool {
+        matches!(self.kind, ErrorKind::OutcomeUnknown)
     }
 
     /// The rows that had changed, if that is why a transaction did not take effect.
@@ -58,7 +58,7 @@
     /// Whether a later call may succeed: the service was down, slow, or overloaded.
     pub fn is_outage(&self) -> bool {
         match &self.kind {
-            ErrorKind::Unreachable(_) | ErrorKind::Unsettled => true,
+            ErrorKind::Unreachable(_) | ErrorKind::OutcomeUnknown => true,
             ErrorKind::Refused(status) => *status >= 500,
             ErrorKind::Malformed(_) | ErrorKind::Conflict(_) => false,
         }
@@ -76,7 +76,7 @@
                 )
             }
             ErrorKind::Refused(status) => write!(f, "{what}: refused with status {status}"),
-            ErrorKind::Unsettled => {
+            ErrorKind::OutcomeUnknown => {
                 write!(
                     f,
                     "{what}: its answer was lost, and whether it took effect is not known; read the rows back before trying again"
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -15,6 +15,6 @@
 pub use client::Committed;
 pub use client::Config;
 pub use client::Listing;
-pub use client::OPERATIONS;
+pub use client::OPERATIONS_TABLE;
 pub use client::Platform;
 pub use error::Error;
--- a/xtask/src/style.rs
+++ b/xtask/src/style.rs
@@ -39,7 +39,7 @@
     "crates/direct/src/request.rs",
     "crates/hooktrestled/src/gateway/drive.rs",
     "crates/hooktrestled/src/gateway/router.rs",
-    "crates/hooktrestled/src/sidecar/desk.rs",
+    "crates/hooktrestled/src/sidecar/dispatch_actor.rs",
     "crates/hooktrestled/src/sidecar/run.rs",
 ];
 
