--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -1,9 +1,11 @@
-//! The process in a backend server's slot: links from gateways in, the backend server behind.
+//! Sidecar process, which runs beside one backend server and passes requests to it.
+//! Input: links from gateways, the configuration, and the backend server's answers.
+//! State: queue and records of requests ([`dispatch_actor`]). Decides when each request runs.
 //!
-//! - [`dispatch_actor`]: the actor around the dispatcher.
-//! - [`group`]: leads the group's ranks, if this sidecar holds the lease.
+//! - [`dispatch_actor`]: the actor that owns the dispatcher.
+//! - [`group`]: leadership of the group's ranks while this sidecar holds the lease.
 //! - [`links`]: accepts links and reads their frames.
-//! - [`run`]: one request at the backend server.
+//! - [`run`]: runs one request at the backend server.
 
 mod dispatch_actor;
 mod group;
@@ -35,19 +37,19 @@
 
 pub use dispatch_actor::DispatchActor;
 
-/// Limits before the configuration has said any.
+/// Limits that are in force until the configuration sets them.
 const INITIAL_MAX_RUNNING: usize = 32;
 const INITIAL_MAX_QUEUED: usize = 64;
 
-/// How long the records of a gateway that has gone are kept for its questions.
+/// Time for which the records of a gateway without a link are retained for its queries.
 const GATEWAY_RETENTION: Millis = Millis(60_000);
 
-/// A running sidecar; it ends, cutting everything off, when this is dropped.
+/// A running sidecar. Dropping it ends the sidecar and aborts all requests.
 #[derive(Debug)]
 pub struct Sidecar {
-    /// Where links connect.
+    /// Address to which gateways open links.
     pub address: SocketAddr,
-    /// Where operators ask for health and metrics.
+    /// Address of the health and metrics endpoints.
     pub admin_address: SocketAddr,
     actor: Address<DispatchActor>,
     tasks: [AbortHandle; 3],
@@ -55,7 +57,7 @@
     config: config_keeper::Watch,
 }
 
-/// A sidecar as operators observe it.
+/// Source of the sidecar's health and metrics.
 #[derive(Clone, Debug)]
 struct Observer {
     actor: Address<DispatchActor>,
@@ -98,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or a client cannot be set up.
+    /// An address cannot be bound, or a client cannot be set up.
     pub async fn start(settings: &Settings) -> Result<Sidecar> {
         let sidecar =
             settings.sidecar.clone().ok_or_else(|| eyre::eyre!("[sidecar] is missing"))?;
@@ -137,7 +139,7 @@
         let observer = Observer { actor: actor.clone(), config: config.clone() };
         let (admin_address, admin) =
             admin::start(&settings.instance.admin_listen, observer).await?;
-        info!("sidecar listens", kv: { address: = address.to_string().as_str() });
+        info!("sidecar listening", kv: { address: = address.to_string().as_str() });
         Ok(Sidecar {
             address,
             admin_address,
@@ -148,14 +150,14 @@
         })
     }
 
-    /// The configuration in force here.
+    /// The configuration in force.
     pub fn config(&self) -> config_keeper::Watch {
         self.config.clone()
     }
 
-    /// Leaves: takes nothing new, gives back what waits, and waits for what runs.
+    /// Leaves: refuses new and queued requests, and waits until the running ones have ended.
     ///
-    /// Returns the number of requests still running when `within` had passed.
+    /// Returns the number of requests that were still running after `within`.
     pub async fn leave(&self, within: Duration) -> usize {
         let cut_off = match self.actor.send(dispatch_actor::Leave).await {
             Ok(running) => drain::until_idle(running, within).await,
--- a/crates/hooktrestled/src/sidecar/dispatch_actor.rs
+++ b/crates/hooktrestled/src/sidecar/dispatch_actor.rs
@@ -1,4 +1,6 @@
-//! The actor around the dispatcher: feeds it events and carries out what it says.
+//! Actor that owns the sidecar's dispatcher: passes events to it and carries out its decisions.
+//! Input: messages of links, runs and timers. State: the dispatcher, and the job of each request.
+//! The [`Dispatcher`] decides; the actor starts, aborts and refuses requests accordingly.
 
 use std::collections::HashMap;
 
@@ -48,7 +50,7 @@
 use crate::sidecar::run::Job;
 use crate::sidecar::run::RunEnd;
 
-/// What an actor is made of.
+/// Parts of a [`DispatchActor`].
 #[derive(Debug)]
 pub(super) struct Setup {
     pub(super) identity: Identity,
@@ -58,7 +60,7 @@
     pub(super) config: config_keeper::Watch,
 }
 
-/// The actor.
+/// The actor that owns the dispatcher.
 #[derive(Debug, xtra::Actor)]
 pub struct DispatchActor {
     setup: Setup,
@@ -87,11 +89,11 @@
     pub(super) job: Job,
 }
 
-/// The caller of a request has gone.
+/// A gateway cancels a request: its caller has disconnected.
 #[derive(Debug)]
 pub(super) struct Cancel(pub(super) Link, pub(super) RequestId);
 
-/// A gateway asks what became of a request.
+/// A gateway queries the outcome of a request.
 #[derive(Debug)]
 pub(super) struct Settle {
     pub(super) link: Link,
@@ -100,7 +102,7 @@
     pub(super) sender: Sender,
 }
 
-/// A gateway has the end of a request.
+/// A gateway has received the end of a request.
 #[derive(Debug)]
 pub(super) struct Acknowledge(pub(super) Link, pub(super) RequestId);
 
@@ -112,23 +114,23 @@
     pub(super) job: Job,
 }
 
-/// The backend server advertised how many requests it takes.
+/// The backend server advertised a limit of its request rate, or withdrew it.
 #[derive(Debug)]
 pub(super) struct ApplyLimit(pub(super) LimitAdvertisement);
 
-/// Something may be due.
+/// The time has come at which the dispatcher may have something to do.
 #[derive(Debug)]
 pub(super) struct Tick;
 
-/// The load to report to gateways.
+/// Query for the load that is reported to gateways.
 #[derive(Debug)]
 pub(super) struct ReadLoad;
 
-/// Take nothing new and give back what waits; answers with the count of what runs.
+/// Refuse new and queued requests. The reply is a watch on the number of running requests.
 #[derive(Debug)]
 pub(super) struct Leave;
 
-/// Abort everything and end.
+/// Abort all runs and stop the actor.
 #[derive(Debug)]
 pub(super) struct AbortAll;
 
@@ -156,7 +158,7 @@
     address
 }
 
-/// Sends a tick whenever the moment that the actor last named has come.
+/// Sends a [`Tick`] at each time that the actor sets.
 async fn send_ticks(
     actor: WeakAddress<DispatchActor>,
     mut next_due: watch::Receiver<Millis>,
@@ -183,7 +185,7 @@
         self.setup.clock.now()
     }
 
-    /// Carries out all that is due.
+    /// Carries out all decisions of the dispatcher that are due.
     fn process_due(&mut self) {
         let now = self.now();
         loop {
@@ -199,7 +201,7 @@
         self.running_count.send_replace(self.dispatcher.running());
     }
 
-    /// Takes over limits and drains from a new configuration.
+    /// Applies limits and drains of a new configuration.
     fn apply_config(&mut self) {
         let in_force = self.setup.config.borrow().clone();
         let Some(in_force) = in_force else { return };
@@ -218,25 +220,25 @@
         let max_queued = config.services[record.service].row.queue_limit_requests as usize;
         self.dispatcher.set_limits(max_running, max_queued);
         if config.is_draining(server) && !self.dispatcher.is_leaving() {
-            self.refuse_waiting();
+            self.begin_leaving();
         } else if !config.is_draining(server) && !self.stopping {
             self.dispatcher.stop_leaving();
         }
     }
 
-    fn refuse_waiting(&mut self) {
+    fn begin_leaving(&mut self) {
         let now = self.now();
         for key in self.dispatcher.start_leaving(now) {
             self.refuse(key, Refusal::not_run(Cause::Leaving));
         }
     }
 
-    /// The backend server asked to be sent nothing for a while.
+    /// Backs off for a time that the backend server requested.
     fn back_off(&mut self, span: Millis) {
         let now = self.now();
         let (waiting, left) = self.dispatcher.back_off(now, span);
-        let (rest_ms, refused_requests) = (left.0, waiting.len());
-        info!("the backend server asked for rest", kv: { rest_ms, refused_requests });
+        let (back_off_ms, refused_requests) = (left.0, waiting.len());
+        info!("the backend server requested a back-off", kv: { back_off_ms, refused_requests });
         for key in waiting {
             self.refuse(key, Refusal::not_run(Cause::BackendRefused).retry_after(left));
         }
@@ -259,7 +261,7 @@
             let advertisement =
                 LimitAdvertisement { limit, earliest: sent_at, latest: clock.now() };
             if let Some(actor) = limit_receiver.and_then(|actor| actor.try_upgrade()) {
-                // An actor that has ended needs no limit.
+                // An actor that has stopped needs no limit.
                 let _ = actor.send(ApplyLimit(advertisement)).await;
             }
         };
@@ -267,14 +269,14 @@
             let mut job = job;
             let end = run::run(&backend, &mut job, report_limit).await;
             if let Some(actor) = actor.and_then(|actor| actor.try_upgrade()) {
-                // An actor that has ended needs no report.
+                // An actor that has stopped needs no outcome.
                 let _ = actor.send(RunEnded { key, end, job }).await;
             }
         });
         self.running.insert(key, task.abort_handle());
     }
 
-    /// Refuses a request that waited here.
+    /// Refuses a queued request.
     fn refuse(&mut self, key: RunKey, refusal: Refusal) {
         if let Some(job) = self.waiting.remove(&key) {
             let spent = job.frame.ticket.is_some();
@@ -459,7 +461,7 @@
 
     async fn handle(&mut self, _: Leave, _: &mut Context<Self>) -> watch::Receiver<usize> {
         self.stopping = true;
-        self.refuse_waiting();
+        self.begin_leaving();
         self.process_due();
         self.running_count.subscribe()
     }
@@ -497,7 +499,8 @@
     })
 }
 
-/// Sends without holding up the actor: a slow link must not delay other gateways' requests.
+/// Sends a frame in a separate task, so that a slow link does not delay the actor and, with it,
+/// requests of other gateways.
 fn send_detached(sender: &Sender, frame: Frame) {
     let sender = sender.clone();
     tokio::spawn(async move { sender.send(&frame, &[]).await });
--- a/crates/hooktrestled/src/sidecar/group.rs
+++ b/crates/hooktrestled/src/sidecar/group.rs
@@ -1,8 +1,10 @@
-//! Leads a group's ranks: plans their expert map and switches it.
+//! Leader of a group's ranks: plans the group's expert map and switches the ranks to it.
+//! Input: the configuration, the lease row, and token counts of experts. State: lease, layout and
+//! popularity of experts. Decides when the sidecar leads, and which experts move between ranks.
 //!
-//! Every sidecar of a group that places experts tries for the group's lease; the one that holds it
-//! leads. What it knows it learns from the ranks: a leader that takes over asks them how
-//! things stand, ends what the one before left behind, and goes on from there.
+//! Every sidecar of a group that places experts competes for the group's lease, and the holder
+//! leads. The leader's knowledge comes from the ranks: a new leader reads their state, ends the
+//! switches of earlier leaders, and continues from there.
 //!
 //! - [`session`]: one leader's links to the ranks, and its orders.
 
@@ -41,19 +43,19 @@
 use crate::sidecar::group::session::Session;
 use crate::sidecar::run::Backend;
 
-/// Table of the leases, one row for each service.
+/// Table of the leases, with one row for each service.
 const LEASES: &str = "leases";
 
-/// The lease is renewed so often in its time.
+/// Number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u32 = 4;
 
-/// Most weights that one plan loads.
+/// Maximum number of expert weights that one plan loads.
 const MAX_LOADS: usize = 96;
 
-/// Longest time that popularity is expected to last.
+/// Maximum time for which the popularity of experts is expected to remain stable.
 const MAX_STABLE_MS: f64 = 15.0 * 60.0 * 1_000.0;
 
-/// What leading needs.
+/// Context of the leader.
 #[derive(Clone, Debug)]
 pub(super) struct Context {
     pub(super) platform: Platform,
@@ -71,11 +73,11 @@
 struct Group {
     service: String,
     row: ServiceRow,
-    /// Sidecars of the ranks, in the order of the ranks.
+    /// Names of the ranks' sidecars, in the order of the ranks.
     members: Vec<String>,
 }
 
-/// Tries for the lease, and leads while it is held.
+/// Competes for the lease, and leads while it is held.
 pub(super) async fn lead(context: Context) {
     let holder = format!("{}/{:x}", context.identity.instance, context.identity.incarnation);
     let mut lease = Lease::new(holder.clone(), Millis(context.settings.lease_ms));
@@ -93,28 +95,29 @@
             leadership = None;
             continue;
         };
-        let changed = leadership.as_ref().is_some_and(|now| now.group != group);
+        let changed = leadership.as_ref().is_some_and(|current| current.group != group);
         if changed {
             leadership = None;
             lease.require_new_epoch();
             continue;
         }
-        if leadership.as_ref().is_none_or(|now| now.epoch != epoch) {
+        if leadership.as_ref().is_none_or(|current| current.epoch != epoch) {
             info!("leading", kv: { service: = group.service.as_str(), epoch });
             leadership = Some(Leadership::new(&context, group, epoch));
         }
-        if let Some(now) = &mut leadership
-            && let Err(error) = now.run_due(&context).await
+        if let Some(current) = &mut leadership
+            && let Err(error) = current.run_due(&context).await
         {
-            // Begins anew, under the next epoch: what the ranks know is all that counts.
-            warn!("cannot lead for now", kv: { error: = error.to_string().as_str() });
+            // Leadership restarts under the next epoch, and reads the state of the ranks again:
+            // only their state counts.
+            warn!("leadership interrupted", kv: { error: = error.to_string().as_str() });
             leadership = None;
             lease.require_new_epoch();
         }
     }
 }
 
-/// The group of this sidecar's rank, if there is one.
+/// The group of this sidecar's rank; `None` if its service places no experts.
 fn group(context: &Context) -> Option<Group> {
     let in_force = context.config.borrow().clone()?;
     let config = &in_force.config;
@@ -153,13 +156,13 @@
     Ok(())
 }
 
-/// One time of leading.
+/// One term of leadership, under one epoch of the lease.
 #[derive(Debug)]
 struct Leadership {
     epoch: u64,
     group: Group,
     session: Session,
-    /// The layout in use; `None` until the ranks have been asked.
+    /// The layout in use; `None` until the ranks have reported it.
     layout: Option<Layout>,
     popularity: Popularity,
     planner: Planner,
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Does what is due: joins the ranks, or plans and switches.
+    /// Does the work that is due: has the ranks join, or plans a layout and switches to it.
     async fn run_due(&mut self, context: &Context) -> Result<()> {
         let within = millis(context.settings.switch_ms);
         if self.layout.is_none() {
@@ -215,7 +218,7 @@
             .collect();
         eyre::ensure!(
             new_counts.len() == self.previous_counts.len(),
-            "the engine counts {} experts",
+            "the engine reported counts of {} experts",
             new_counts.len()
         );
         self.previous_counts = counts.tokens;
@@ -236,13 +239,13 @@
             info!("expert map switched", kv: { service, loads: = moves.len(), skew_before, skew_after });
             self.layout = Some(new);
         } else {
-            warn!("an expert map was called off", kv: { service: = self.group.service.as_str() });
+            warn!("expert map switch aborted", kv: { service: = self.group.service.as_str() });
         }
         Ok(())
     }
 }
 
-/// The layout that the ranks say they have.
+/// The layout that the ranks reported, after validation.
 fn layout(columns: &[Vec<u16>], experts: usize) -> Result<Layout> {
     let columns: Vec<Vec<placement::Expert>> = columns
         .iter()
@@ -255,11 +258,14 @@
         sorted.dedup();
         let fits = column.len() == slots && sorted.len() == slots;
         let known = sorted.iter().all(|expert| usize::from(expert.0) < experts);
-        eyre::ensure!(fits && known, "rank {rank} has {column:?}, of {experts} experts");
+        eyre::ensure!(
+            fits && known,
+            "rank {rank} reported invalid experts {column:?}, of {experts} in total"
+        );
     }
     for expert in (0..experts).map(|index| placement::Expert(index as u16)) {
         let is_placed = columns.iter().any(|column| column.contains(&expert));
-        eyre::ensure!(is_placed, "{expert:?} stands on no rank");
+        eyre::ensure!(is_placed, "{expert:?} is on no rank");
     }
     Ok(Layout::from_ranks(experts, &columns))
 }
--- a/crates/hooktrestled/src/sidecar/group/session.rs
+++ b/crates/hooktrestled/src/sidecar/group/session.rs
@@ -1,4 +1,6 @@
-//! One leader's links to the ranks' sidecars, and its orders over them.
+//! Session of one leader with the ranks of its group: links to their sidecars, orders and replies.
+//! Input: the ranks' replies and the layout to switch to. State: the [`Leader`], links and experts.
+//! Decides when orders are sent again, and when a switch that is being staged is aborted.
 
 use std::time::Duration;
 
@@ -29,7 +31,7 @@
 use crate::directory;
 use crate::sidecar::group::Context;
 
-/// Wait for answers before the orders are given again.
+/// Time without a reply after which pending orders are sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One rank's sidecar.
@@ -38,11 +40,11 @@
     name: String,
     link: Option<Link>,
     link_epoch: u64,
-    /// Experts that the rank has, as it last said.
+    /// Experts of the rank: those it last reported, or those of the layout that is being staged.
     experts: Vec<u16>,
 }
 
-/// An open link, with the task that reads it.
+/// An open link and the task that reads it.
 #[derive(Debug)]
 struct Link {
     sender: Sender,
@@ -55,7 +57,7 @@
     }
 }
 
-/// A leader at work.
+/// A leader with its links to the ranks.
 #[derive(Debug)]
 pub(super) struct Session {
     ballot: Ballot,
@@ -86,19 +88,19 @@
         }
     }
 
-    /// A step that the group is known to have reached.
+    /// Records a step that the group has reached.
     pub(super) fn observe_step(&mut self, step: u64) {
         self.leader.observe_step(step);
     }
 
-    /// Has all ranks join, ends what an older leader left behind, and returns the experts on each
+    /// Has all ranks join, ends the switches of earlier leaders, and returns the experts on each
     /// rank.
     pub(super) async fn join(
         &mut self,
         context: &Context,
         within: Duration,
     ) -> Result<Vec<Vec<u16>>> {
-        // Twice: the first may change what the ranks have, the second only reads it.
+        // The first pass may change the maps of the ranks, and the second only reads them.
         for _ in 0..2 {
             self.leader = Leader::new(self.ballot, self.members.len());
             self.drive(context, within).await?;
@@ -106,7 +108,8 @@
         Ok(self.members.iter().map(|member| member.experts.clone()).collect())
     }
 
-    /// Switches the group to a layout; `false` if that was called off, and the old one stays.
+    /// Switches the group to a layout. Returns `false` if the switch was aborted and the old layout
+    /// remains in use.
     pub(super) async fn switch(
         &mut self,
         context: &Context,
@@ -119,13 +122,13 @@
             member.experts = experts.iter().map(|expert| expert.0).collect();
         }
         let Some(map) = self.leader.propose(horizon) else {
-            bail!("a map is proposed while another is under way");
+            bail!("cannot propose an expert map while another switch is in progress");
         };
         Ok(self.drive(context, within).await? == map)
     }
 
-    /// Gives orders and takes replies until nothing is under way. What cannot be staged in time is
-    /// called off; what is decided is seen through.
+    /// Sends orders and applies replies until no switch is in progress. A map that is not staged in
+    /// time is aborted; a switch that is already decided is completed.
     async fn drive(&mut self, context: &Context, within: Duration) -> Result<MapId> {
         let within = Millis::from(within);
         let mut deadline = context.clock.now() + within;
@@ -133,11 +136,11 @@
         loop {
             match self.leader.progress() {
                 Progress::Settled(map) => return Ok(map),
-                Progress::Deposed(by) => bail!("a later leader is at work: {by:?}"),
+                Progress::Deposed(by) => bail!("a rank has joined a later leader: {by:?}"),
                 Progress::Waiting => {}
             }
             if context.clock.now() >= deadline {
-                ensure!(self.leader.is_staging(), "not all ranks answer");
+                ensure!(self.leader.is_staging(), "not all ranks replied in time");
                 self.leader.abort_staging();
                 deadline = deadline + within;
             }
@@ -147,7 +150,7 @@
             }
             match timeout(RESEND_INTERVAL, self.replies.recv()).await {
                 Ok(Some((rank, reply))) => self.apply_reply(rank, &reply),
-                Ok(None) => bail!("the session has ended"),
+                Ok(None) => bail!("the channel of replies is closed"),
                 Err(_) => phase = None,
             }
         }
@@ -176,7 +179,7 @@
         }
     }
 
-    /// The link to a rank's sidecar, opened if need be.
+    /// The link to a rank's sidecar; opens one if there is none.
     async fn link(&mut self, context: &Context, rank: usize) -> Option<Sender> {
         let replied = self.replied.clone();
         let heartbeat = HeartbeatFrame { config_version: self.heartbeat_version };
@@ -200,8 +203,8 @@
     }
 }
 
-/// Hands replies on until the link ends; a heartbeat answers each load report, so that the link
-/// lives between plans.
+/// Forwards replies until the link ends. Replies to each load report with a heartbeat, so that the
+/// sidecar does not close the link as silent between plans.
 async fn read(
     mut receiver: Receiver,
     rank: usize,
--- a/crates/hooktrestled/src/sidecar/links.rs
+++ b/crates/hooktrestled/src/sidecar/links.rs
@@ -1,4 +1,6 @@
-//! Accepts links and reads their frames.
+//! Accept loop for links from gateways and leaders, with one reader for each link.
+//! Input: TCP connections and the frames on them. State: the open requests of each link.
+//! Passes requests to the [`DispatchActor`], and orders for expert maps to the local rank.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,10 +34,10 @@
 use crate::sidecar::run::Job;
 use crate::spread::Spread;
 
-/// Connections whose peer has not proved itself yet; more wait to be accepted.
+/// Maximum number of connections whose peer is not authenticated yet; others wait to be accepted.
 const MAX_UNAUTHENTICATED: usize = 64;
 
-/// What every link needs.
+/// Context that all links share.
 #[derive(Clone, Debug)]
 pub(super) struct Context {
     pub(super) link: hooktrestle_link::Config,
@@ -47,14 +49,14 @@
     pub(super) backend: Backend,
 }
 
-/// What the reader of a link keeps of a request that it has passed on.
+/// State of a request that the reader of a link has passed to the actor.
 #[derive(Debug)]
 struct OpenRequest {
     body: mpsc::UnboundedSender<BodyChunk>,
     credit: Arc<Semaphore>,
 }
 
-/// Accepts links for ever.
+/// Accepts links until the task is aborted.
 pub(super) async fn accept_all(listener: TcpListener, context: Context) {
     let unauthenticated = Arc::new(Semaphore::new(MAX_UNAUTHENTICATED));
     loop {
@@ -62,7 +64,7 @@
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                warn!("cannot accept a link", kv: { error: = error.to_string().as_str() });
+                warn!("cannot accept a connection", kv: { error: = error.to_string().as_str() });
                 continue;
             }
         };
@@ -81,7 +83,7 @@
     let opened = match hooktrestle_link::accept(&context.link, &context.identity, stream).await {
         Ok(opened) => opened,
         Err(error) => {
-            warn!("a link was refused", kv: { error: = error.to_string().as_str() });
+            warn!("link refused", kv: { error: = error.to_string().as_str() });
             return None;
         }
     };
@@ -101,11 +103,11 @@
     };
     load_reports.abort();
     info!("link closed", kv: { gateway: = gateway.as_str(), reason: = reason.as_str() });
-    // An actor that has ended has no requests of this link.
+    // An actor that has stopped has no requests of this link.
     let _ = context.actor.send(dispatch_actor::LinkEnded(link)).await;
 }
 
-/// Sends the load at once, then every heartbeat.
+/// Sends a load report at once, and then one at each heartbeat interval.
 async fn send_load_reports(context: Context, sender: Sender) {
     while let Ok(load) = context.actor.send(dispatch_actor::ReadLoad).await {
         if sender.send(&Frame::Load(load), &[]).await.is_err() {
@@ -115,7 +117,7 @@
     }
 }
 
-/// Reads frames until the link ends; says why it did.
+/// Reads frames until the link ends, and returns the reason.
 async fn read(
     context: &Context,
     receiver: &mut Receiver,
@@ -139,7 +141,7 @@
             }
             Frame::Body(body) => {
                 if let Some(open) = open.get(&RequestId::from(&body.id)) {
-                    // A run that has ended reads no more of its body.
+                    // A run that has ended does not read the rest of its body.
                     let _ = open.body.send(BodyChunk { bytes: payload, last: body.last });
                 }
             }
@@ -171,10 +173,11 @@
     }
 }
 
-/// Passes an order on to the rank, in the background: a rank that stalls must not hold up the link.
+/// Forwards an order to the rank in a separate task, so that a stalled rank does not block the
+/// link.
 ///
-/// A server that keeps no fence gets no orders yet: a restarted sidecar could not tell which of
-/// them are out of date.
+/// A server that does not keep its fence gets no orders yet: after a restart, its sidecar could not
+/// distinguish outdated orders from current ones.
 fn forward_order(context: &Context, sender: &Sender, order: MapOrder) {
     let own = &context.identity.instance;
     let keeps_fence = context.config.borrow().as_ref().is_some_and(|in_force| {
@@ -184,7 +187,7 @@
     let (backend, sender) = (context.backend.clone(), sender.clone());
     tokio::spawn(async move {
         let reply = if keeps_fence { backend.order(&order).await } else { MapReply::Silent };
-        // A leader whose link is lost asks again over the next.
+        // A leader whose link is lost sends the order again over the next link.
         let _ = sender.send(&Frame::MapReply(MapReplyFrame { reply }), &[]).await;
     });
 }
@@ -197,7 +200,7 @@
     (Job { frame, sender: sender.clone(), body: Some(pieces), credit }, open_request)
 }
 
-/// Adds credit, up to what a semaphore can hold: a peer cannot make it panic.
+/// Adds credit, bounded by the capacity of a semaphore, so that a peer cannot cause a panic.
 fn add_credit(credit: &Semaphore, more_bytes: u64) {
     let room = Semaphore::MAX_PERMITS - credit.available_permits();
     let more = usize::try_from(more_bytes).unwrap_or(usize::MAX).min(room / 2);
@@ -208,6 +211,6 @@
 where
     DispatchActor: xtra::Handler<M, Return = ()>,
 {
-    // An actor that has ended cuts its links off; the reader then ends by itself.
+    // An actor that has stopped closes its links, which ends the reader.
     let _ = context.actor.send(message).await;
 }
--- a/crates/hooktrestled/src/sidecar/run.rs
+++ b/crates/hooktrestled/src/sidecar/run.rs
@@ -1,4 +1,6 @@
-//! One request at the backend server: out over HTTP, the answer back in frames.
+//! Run of one request at the backend server: sends it over HTTP and its answer in frames.
+//! Input: a [`Job`], chunks of its body, and credit. State: the answer's sequence number and tail.
+//! Decides whether the run ended complete, not started or failed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,22 +37,22 @@
 use crate::traces::TRACEPARENT;
 use crate::traces::Traces;
 
-/// Header by which a backend server says that it refused a request before running any of it.
+/// Header that marks an answer as a refusal: the backend server ran nothing of the request.
 const NOT_RUN_HEADER: &str = "x-hooktrestle-not-run";
 
-/// Header by which a backend server names how many requests a second it takes.
+/// Header in which a backend server advertises its limit in requests per second.
 const LIMIT_HEADER: &str = "x-hooktrestle-limit";
 
 /// Largest chunk of an answer in one frame.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Longest wait for a connection to the backend server beside us.
+/// Timeout for a connection to the local backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The end of a whole stream of server-sent events.
+/// Last event of a complete stream of server-sent events.
 const STREAM_END: &[u8] = b"data: [DONE]";
 
-/// The backend server beside this sidecar.
+/// HTTP client of the local backend server.
 #[derive(Clone, Debug)]
 pub(super) struct Backend {
     http: reqwest::Client,
@@ -65,40 +67,40 @@
     pub(super) last: bool,
 }
 
-/// A request with all that its run needs.
+/// A request with the state that its run needs.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) frame: RequestFrame,
     pub(super) sender: Sender,
-    /// Taken when the run starts.
+    /// Chunks of the body; `None` once the run has started.
     pub(super) body: Option<mpsc::UnboundedReceiver<BodyChunk>>,
-    /// Answer bytes that may be sent.
+    /// Number of answer bytes that may be sent.
     pub(super) credit: Arc<Semaphore>,
 }
 
 impl Job {
-    /// Whether the link that it came over has closed.
+    /// Whether the link over which the request arrived has closed.
     pub(super) fn is_orphan(&self) -> bool {
         self.body.as_ref().is_some_and(mpsc::UnboundedReceiver::is_closed)
     }
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug)]
 pub(super) enum RunEnd {
-    /// The whole answer has been handed to the link.
+    /// The complete answer was written to the link.
     Complete,
-    /// The backend server refused it before running any of it; it may have asked to be sent nothing for a
-    /// while.
+    /// The backend server refused the request before running any of it, and may have requested a
+    /// back-off.
     NotStarted(Refusal, Option<Millis>),
-    /// It ran, or may have, and the answer is not whole.
+    /// The request ran, or may have run, and the answer is not complete.
     Failed(Refusal),
-    /// Nobody is left to answer.
+    /// The link closed, so the answer cannot be delivered.
     LinkClosed,
 }
 
 impl Backend {
-    /// The backend server at `base_url`; connects on first use.
+    /// A client of the backend server at `base_url`; connects on first use.
     pub(super) fn new(base_url: &str, traces: Traces) -> Result<Backend> {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -110,8 +112,8 @@
 }
 
 impl Backend {
-    /// Passes an order on to the rank beside us. Silence where it cannot be reached: then nothing
-    /// is known, and the leader asks again.
+    /// Forwards an order to the local rank. The result is `Silent` if the rank cannot be reached:
+    /// its state is not known then, and the leader sends the order again.
     pub(super) async fn order(&self, order: &MapOrder) -> MapReply {
         let url = format!("{}/control/map", self.base_url);
         let sent = self.http.post(url).json(order).send().await;
@@ -121,7 +123,7 @@
         response.json().await.unwrap_or(MapReply::Silent)
     }
 
-    /// Tokens of each expert so far.
+    /// Number of tokens of each expert since the start of the backend server's engine.
     pub(super) async fn counts(&self) -> Result<ExpertCounts> {
         let url = format!("{}/control/counts", self.base_url);
         let response = self.http.get(url).send().await?.error_for_status()?;
@@ -129,7 +131,8 @@
     }
 }
 
-/// Runs a request to its end. What the backend server says of its limit is told as soon as its answer begins.
+/// Runs a request to its end. `report_limit` is called with the limit that the backend server
+/// advertises, as soon as the head of the answer has arrived.
 pub(super) async fn run(
     backend: &Backend,
     job: &mut Job,
@@ -143,21 +146,21 @@
         Err(error) if error.is_connect() || error.is_builder() => {
             return RunEnd::NotStarted(Refusal::not_run(Cause::BackendRefused), None);
         }
-        // Sent, at least in part, and no answer: nobody knows.
+        // The request was sent, at least in part, without an answer: it may have run.
         Err(_) => return RunEnd::Failed(Refusal::may_have_run(Cause::BackendFailed)),
     };
     let advertised = response.headers().get(LIMIT_HEADER).map(|value| value.to_str().unwrap_or(""));
     match advertised.map(Rate::from_text) {
         Some(Some(limit)) => report_limit(Some(limit)).await,
-        // A text that is no number says nothing.
+        // A value that is not a number is ignored.
         Some(None) => {}
         None if response.status().is_success() => report_limit(None).await,
         None => {}
     }
     if response.headers().contains_key(NOT_RUN_HEADER) {
         let retry_after = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
-        let rest = retry_after.and_then(server_notices::parse_back_off);
-        return RunEnd::NotStarted(Refusal::not_run(Cause::BackendRefused), rest);
+        let back_off = retry_after.and_then(server_notices::parse_back_off);
+        return RunEnd::NotStarted(Refusal::not_run(Cause::BackendRefused), back_off);
     }
     answer(job, response).await
 }
@@ -177,7 +180,7 @@
     request.body(body(job)).send().await
 }
 
-/// The request's body as it arrives; each chunk that is read gives its credit back.
+/// The request's body as a stream. Each chunk that is read returns its credit to the gateway.
 fn body(job: &mut Job) -> reqwest::Body {
     let Some(chunks) = job.body.take() else { return reqwest::Body::default() };
     let sender = job.sender.clone();
@@ -186,14 +189,15 @@
     let bytes = stream::unfold(state, |state| async move {
         let (mut chunks, sender, id) = state?;
         let Some(chunk) = chunks.recv().await else {
-            let cut_off = std::io::Error::other("the caller's body was cut off");
+            let cut_off =
+                std::io::Error::other("request body truncated: link closed or request cancelled");
             return Some((Err(cut_off), None));
         };
         let credit = CreditFrame { id: id.clone(), more_bytes: chunk.bytes.len() as u64 };
-        // A closed link ends the chunks as well.
+        // If the link is closed, the channel of the chunks ends too.
         let _ = sender.send(&Frame::Credit(credit), &[]).await;
-        let rest = if chunk.last { None } else { Some((chunks, sender, id)) };
-        Some((Ok(chunk.bytes), rest))
+        let next_state = if chunk.last { None } else { Some((chunks, sender, id)) };
+        Some((Ok(chunk.bytes), next_state))
     });
     reqwest::Body::wrap_stream(bytes)
 }
@@ -224,16 +228,16 @@
     if out.finish().await { RunEnd::Complete } else { RunEnd::LinkClosed }
 }
 
-/// An answer on its way out.
+/// Writer of one answer to a link.
 struct AnswerWriter<'a> {
     job: &'a Job,
     sequence: u64,
-    /// The last bytes sent, to recognise the end of a stream of events.
+    /// The last bytes sent, in which [`STREAM_END`] is detected.
     tail: Vec<u8>,
 }
 
 impl AnswerWriter<'_> {
-    /// Sends a chunk as credit allows; `false` when the link has closed.
+    /// Sends a chunk as credit allows. Returns `false` if the link has closed.
     async fn send(&mut self, mut bytes: Bytes) -> bool {
         self.update_tail(&bytes);
         while !bytes.is_empty() {
@@ -254,8 +258,8 @@
         true
     }
 
-    /// Sends the end. What was only queued would be lost if the process stopped once nothing runs, so
-    /// the run lasts until all of it is written.
+    /// Sends the end of the answer, and waits until all frames are written. A process that leaves
+    /// stops once no request runs, and would lose frames that are only queued.
     async fn finish(&mut self) -> bool {
         self.frame(&[], true).await && self.job.sender.flush().await.is_ok()
     }
@@ -284,7 +288,7 @@
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// The answer's headers, without those that belong to one connection.
+/// The answer's headers without the hop-by-hop ones.
 fn headers(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
