--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,12 +1,14 @@
-//! The clock of a process, in milliseconds since it started.
+//! Clock of a process, in milliseconds since its start; it includes time suspended.
+//! Input: the operating system's boot-time clock. State: the time of the start.
+//! Decides when a wait until a time of this clock ends.
 //!
-//! A machine can be suspended for seconds. The clock that timers run by does not count that time, so
-//! whatever is due by it is late by as much: leases seem to hold, callers seem to wait. [`ProcessClock`]
-//! counts it (`CLOCK_BOOTTIME`), and waits until a moment of its own in short pieces, so that who wakes
-//! notices within [`MAX_SLEEP`].
+//! A machine can be suspended for seconds. The clock of timers does not count that time, so
+//! everything that is due by that clock is late by as much: leases appear to hold, and callers
+//! appear to wait. [`ProcessClock`] counts it (`CLOCK_BOOTTIME`). It waits in short sleeps, so that
+//! after a suspension a waiting task notices within [`MAX_SLEEP`] that its time has come.
 //!
-//! What is measured while the process runs, as how long a peer says nothing, stays with the timers: a peer is
-//! not silent for longer because we slept.
+//! Times that are measured while the process runs, such as the silence of a peer, remain with the
+//! timers: a suspension of this process does not make a peer silent for longer.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,24 +19,24 @@
 use rustix::time::clock_gettime;
 use tokio::time;
 
-/// Longest piece of a wait. What is due while a machine is suspended is noticed so much after its waking at the
-/// latest; a request of the users takes 1 to 2 s, so most waits wake a task once more.
+/// Longest single sleep of a wait. Work that became due during a suspension is noticed within this
+/// time after it. Typical requests take 1 to 2 s, so most waits wake their task one extra time.
 pub const MAX_SLEEP: Duration = Duration::from_millis(1_000);
 
-/// The process's steady clock, time asleep included.
+/// Monotonic clock of the process, which includes time suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     read: fn() -> Duration,
     start: Duration,
 }
 
-/// The moment that was waited for is past.
+/// The time of a [`ProcessClock::timeout_at`] has passed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Elapsed;
 
 impl fmt::Display for Elapsed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the time is over")
+        write!(f, "deadline has elapsed")
     }
 }
 
@@ -47,12 +49,12 @@
 }
 
 impl ProcessClock {
-    /// A clock that begins now and reads time from elsewhere.
+    /// A clock that starts now and reads time through `read`.
     pub fn with_source(read: fn() -> Duration) -> ProcessClock {
         ProcessClock { read, start: read() }
     }
 
-    /// Waits until a moment of this clock.
+    /// Waits until a time of this clock.
     pub async fn sleep_until(&self, at: Millis) {
         loop {
             let left = at.since(self.now());
@@ -63,11 +65,12 @@
         }
     }
 
-    /// What `future` gives, if it is done before a moment of this clock, or just when that is noticed.
+    /// The output of `future`, if it completes before a time of this clock. A future that is ready
+    /// when the passing of that time is noticed counts as complete.
     ///
     /// # Errors
     ///
-    /// It was not done.
+    /// `future` did not complete in time.
     pub async fn timeout_at<F: Future>(&self, at: Millis, future: F) -> Result<F::Output, Elapsed> {
         tokio::select! {
             biased;
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -1,4 +1,7 @@
-//! Machines that are suspended: timers stand still, the clock goes on.
+//! Tests of waits across a suspension of the machine.
+//!
+//! Timers stop during a suspension while the boot-time clock continues. A wait that relies on one
+//! timer alone would end late by the whole time of the suspension.
 
 use std::cell::Cell;
 use std::future;
@@ -18,7 +21,7 @@
     static START: Instant = Instant::now();
 }
 
-/// The timers' time, and the time asleep.
+/// Time of the timers plus the time suspended.
 fn with_suspended_time() -> Duration {
     START.with(Instant::elapsed) + SUSPENDED.get()
 }
@@ -27,7 +30,7 @@
     SUSPENDED.set(SUSPENDED.get() + span);
 }
 
-/// Runs a test on timers that stand still but for what is waited for.
+/// Runs a test with paused timers, which advance only to the next time that is waited for.
 fn run(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(test);
--- a/crates/link/src/auth.rs
+++ b/crates/link/src/auth.rs
@@ -1,9 +1,11 @@
-//! The proof of a shared key that opens a link.
+//! Proof of a shared key that opens a link, and signatures with the same keys.
+//! Input: the challenge and the hello of a link, or a text to sign. State: the shared keys.
+//! Decides whether a proof or a signature was made with one of the keys.
 //!
-//! The dialled side sends a fresh nonce; the dialling side answers with an HMAC-SHA-256 over the
-//! nonce and all that it claims. Any of the keys is accepted and the first one proves, so a key is
-//! changed without a stop: add the new one everywhere behind the old, then put it first
-//! everywhere, then take the old one out.
+//! The accepting side sends a fresh nonce. The dialling side replies with an HMAC-SHA-256 over the
+//! nonce and its claims. Proofs are made with the first key and accepted with any key, so a key can
+//! be rotated without downtime: append the new key to the list on all processes, then move it to
+//! the front on all of them, then remove the old key.
 
 use hmac::Hmac;
 use hmac::KeyInit;
@@ -12,7 +14,7 @@
 use hooktrestle_schema::HelloFrame;
 use sha2::Sha256;
 
-/// Shared keys of a fleet, the proving one first.
+/// Shared keys of a fleet. The first one makes proofs.
 #[derive(Clone)]
 pub struct Keys(Vec<Vec<u8>>);
 
@@ -45,7 +47,7 @@
         self.0.iter().any(|key| mac(key, challenge, hello).verify_slice(&proof).is_ok())
     }
 
-    /// A tag over `text`, in hexadecimal: what this fleet has signed.
+    /// A tag over `text`, in hexadecimal, which shows that this fleet has signed it.
     pub fn sign(&self, text: &str) -> String {
         hex::encode(text_mac(&self.0[0], text).finalize().into_bytes())
     }
@@ -58,7 +60,7 @@
 }
 
 fn text_mac(key: &[u8], text: &str) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any key length will do");
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
     mac.update(text.as_bytes());
     mac
 }
--- a/crates/link/src/codec.rs
+++ b/crates/link/src/codec.rs
@@ -1,6 +1,9 @@
-//! One message: a frame in CBOR, then the payload's bytes as they are.
+//! Codec of link messages: a frame in CBOR, followed by the raw bytes of the payload.
+//! Input: a frame and its payload, or the bytes of a message. It has no state.
+//! Decides whether received bytes begin with a valid frame.
 //!
-//! The payload is not part of the CBOR value, so that body bytes are neither copied nor encoded.
+//! The payload is not part of the CBOR value, so body bytes are not encoded, and decoding does not
+//! copy them.
 
 use bytes::Buf;
 use bytes::BufMut;
@@ -11,17 +14,17 @@
 use crate::error::Error;
 use crate::error::ErrorKind;
 
-/// Deepest nesting that is read; frames nest four deep.
+/// Maximum nesting that is decoded. Frames have four levels.
 const DEPTH_LIMIT: usize = 16;
 
-/// Room for a frame without its payload.
+/// Capacity reserved for a frame without its payload.
 const FRAME_ROOM_BYTES: usize = 256;
 
 /// Encodes a message.
 ///
 /// # Panics
 ///
-/// Never: a frame is always representable, and memory does not fail to be written.
+/// Never: every frame is representable in CBOR, and writing to memory does not fail.
 pub fn encode(frame: &Frame, payload: &[u8]) -> Bytes {
     let mut writer = BytesMut::with_capacity(FRAME_ROOM_BYTES + payload.len()).writer();
     ciborium::into_writer(frame, &mut writer).expect("a frame is representable in CBOR");
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,4 +1,6 @@
-//! Opening a link, and its two halves.
+//! Connection of a link: opens it from either side, and provides its two halves.
+//! Input: a TCP connection, frames to send, and WebSocket messages from the peer.
+//! State: the queue of outgoing messages. Decides when the peer is refused or considered silent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,8 +27,8 @@
 use crate::error::Error;
 use crate::error::ErrorKind;
 
-/// Frames that may wait to be written before senders wait. Body frames are bounded by credit;
-/// this bounds the rest.
+/// Maximum number of frames that wait to be written; beyond it, senders wait. Body frames are
+/// bounded by credit, and this bounds all other frames.
 const OUTBOX_FRAMES: usize = 1_024;
 
 type Socket = WebSocketStream<TcpStream>;
@@ -36,25 +38,26 @@
 pub struct Config {
     /// Shared keys.
     pub keys: Keys,
-    /// Largest message that is read, in bytes.
+    /// Maximum size of a message that is read.
     pub max_message_bytes: usize,
-    /// Silence after which the peer counts as gone; also the longest wait while opening.
+    /// Time without a message after which the peer is considered disconnected; also the timeout of
+    /// opening a link.
     pub silence_timeout: Duration,
 }
 
-/// Who a process says it is.
+/// Identity that a process claims.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
     /// Name of its instance.
     pub instance: String,
-    /// Which life of it this is; drawn at random at each start.
+    /// Incarnation of the instance: a random number, drawn at each start.
     pub incarnation: u64,
 }
 
 /// The other side of a link.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Peer {
-    /// Who it is.
+    /// Identity of the peer.
     pub identity: Identity,
     /// The link's epoch, which the dialling side chose.
     pub link_epoch: u64,
@@ -63,30 +66,30 @@
 /// A link that has just been opened.
 #[derive(Debug)]
 pub struct Opened {
-    /// Who is at the other side.
+    /// The other side.
     pub peer: Peer,
-    /// The half that writes.
+    /// The sending half.
     pub sender: Sender,
-    /// The half that reads.
+    /// The receiving half.
     pub receiver: Receiver,
 }
 
-/// What waits to be written.
+/// Item of the queue of outgoing messages.
 #[derive(Debug)]
 enum Outgoing {
     Message(Bytes),
-    /// Somebody wants to know when all before this was written.
+    /// Request to be notified when all earlier items have been written.
     Flush(oneshot::Sender<()>),
 }
 
-/// The half of a link that writes; clones share it.
+/// Sending half of a link; clones share the same queue.
 #[derive(Clone, Debug)]
 pub struct Sender {
     outbox: mpsc::Sender<Outgoing>,
 }
 
 impl Sender {
-    /// Queues a message; waits while the link is slow.
+    /// Queues a message. Waits while the queue is full.
     ///
     /// # Errors
     ///
@@ -96,8 +99,8 @@
         self.outbox.send(message).await.map_err(|_| Error::new(ErrorKind::Closed))
     }
 
-    /// Waits until all that was queued here is with the operating system, which delivers it also if
-    /// the process ends.
+    /// Waits until all queued messages are passed to the operating system, which delivers them even
+    /// if the process ends.
     ///
     /// # Errors
     ///
@@ -115,7 +118,7 @@
     }
 }
 
-/// The half of a link that reads.
+/// Receiving half of a link.
 #[derive(Debug)]
 pub struct Receiver {
     stream: SplitStream<Socket>,
@@ -127,7 +130,7 @@
     ///
     /// # Errors
     ///
-    /// The link is closed, broken or silent, or the peer sent nonsense.
+    /// The link is closed, broken or silent, or the peer sent a malformed message.
     pub async fn next(&mut self) -> Result<(Frame, Bytes), Error> {
         loop {
             let message = timeout(self.silence_timeout, self.stream.next())
@@ -150,7 +153,8 @@
 ///
 /// # Errors
 ///
-/// Nobody is there, or not somebody with the shared key, or not in time.
+/// The connection fails or its handshake does not complete in time. A peer that refuses the proof
+/// closes the link later, which the [`Receiver`] reports.
 pub async fn dial(
     config: &Config,
     identity: &Identity,
@@ -161,11 +165,11 @@
     timeout(config.silence_timeout, opening).await.map_err(|_| Error::new(ErrorKind::TimedOut))?
 }
 
-/// Opens a link on a connection that was accepted.
+/// Opens a link on an accepted connection.
 ///
 /// # Errors
 ///
-/// The peer does not prove that it has the shared key, or not in time.
+/// The peer does not prove in time that it has a shared key, or the connection fails.
 pub async fn accept(
     config: &Config,
     identity: &Identity,
@@ -247,7 +251,7 @@
     Opened { peer, sender: Sender { outbox }, receiver }
 }
 
-/// Writes what is queued; flushes only when the queue is empty, so that busy links batch.
+/// Writes queued messages. Flushes only when the queue is empty, so that busy links batch writes.
 async fn write_all(mut sink: SplitSink<Socket, Message>, mut inbox: mpsc::Receiver<Outgoing>) {
     let mut waiting = Vec::new();
     while let Some(first) = inbox.recv().await {
@@ -267,11 +271,11 @@
             return;
         }
         for written in waiting.drain(..) {
-            // Who does not wait any more need not know.
+            // The waiting call may have been cancelled; then no notification is needed.
             let _ = written.send(());
         }
     }
-    // The peer may be gone already; there is nobody to tell.
+    // The peer may have disconnected already, so a failure to close is ignored.
     let _ = sink.close().await;
 }
 
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,8 +1,10 @@
-//! Why a link could not be opened, or ended.
+//! Errors of a link: why it could not be opened, or why it ended.
+//! Input: failures of the socket, the WebSocket protocol and authentication. It has no state.
+//! Decides how each failure is described.
 
 use std::fmt;
 
-/// A failed link.
+/// A failure to open a link, or the end of one.
 #[derive(Debug)]
 pub struct Error {
     kind: ErrorKind,
@@ -24,7 +26,7 @@
         Error { kind }
     }
 
-    /// Whether the peer does not have the shared key.
+    /// Whether the peer's proof was made with none of the shared keys.
     pub fn is_wrong_key(&self) -> bool {
         matches!(self.kind, ErrorKind::WrongProof)
     }
@@ -36,11 +38,13 @@
             ErrorKind::Socket(source) => write!(f, "link: {source}"),
             ErrorKind::WebSocket(source) => write!(f, "link: {source}"),
             ErrorKind::Malformed(message) => write!(f, "link: malformed frame: {message}"),
-            ErrorKind::WrongProof => {
-                f.write_str("link: the peer does not know the shared key; compare [links] keys")
-            }
+            ErrorKind::WrongProof => f.write_str(
+                "link: the peer's proof does not match any shared key; compare [links] keys",
+            ),
             ErrorKind::Unexpected(wanted) => write!(f, "link: expected {wanted}"),
-            ErrorKind::TimedOut => f.write_str("link: the peer has been silent for too long"),
+            ErrorKind::TimedOut => {
+                f.write_str("link: no message from the peer within the silence timeout")
+            }
             ErrorKind::Closed => f.write_str("link: closed"),
         }
     }
--- a/crates/link/tests/codec.rs
+++ b/crates/link/tests/codec.rs
@@ -1,4 +1,9 @@
-//! Whatever arrives on a link: decoded or refused, never a panic; and who is let in.
+//! Tests of the codec and of authentication against malformed or forged input.
+//!
+//! - A peer that sends random, truncated or corrupted bytes must cause neither a panic nor an
+//!   allocation larger than the bytes received. Valid frames must survive encoding and decoding.
+//! - A proof must not be accepted under another key, for another challenge (replay) or with other
+//!   claims, and keys must be rotatable without downtime.
 
 use bytes::Bytes;
 use hooktrestle_link::auth::Keys;
@@ -34,7 +39,7 @@
 
     #[test]
     fn any_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        // Either will do; it must not panic, nor take memory that the bytes do not fill.
+        // Both results are allowed, but no panic, and no allocation for bytes that are missing.
         let _ = codec::decode(Bytes::from(bytes));
     }
 
@@ -89,9 +94,9 @@
     assert!(old.accepts(&challenge("aa"), &proved));
     assert!(both.accepts(&challenge("aa"), &proved));
     assert!(!new.accepts(&challenge("aa"), &proved), "another key");
-    assert!(!old.accepts(&challenge("bb"), &proved), "a proof that was used before");
+    assert!(!old.accepts(&challenge("bb"), &proved), "a proof for another challenge");
     let claims = HelloFrame { instance: "entry-2".to_owned(), ..proved.clone() };
-    assert!(!old.accepts(&challenge("aa"), &claims), "another's name");
+    assert!(!old.accepts(&challenge("aa"), &claims), "another instance's name");
     let nonsense = HelloFrame { proof_hex: "zz".to_owned(), ..proved };
     assert!(!old.accepts(&challenge("aa"), &nonsense));
     assert!(both.accepts(&challenge("aa"), &hello(&both, &challenge("aa"))));
--- a/crates/link/tests/links.rs
+++ b/crates/link/tests/links.rs
@@ -1,4 +1,7 @@
-//! Links between two processes: what was written arrives, also if the writing process then ends.
+//! Test of a link whose sending process ends directly after a flush.
+//!
+//! Frames that are only queued are lost when the runtime of the sending process is dropped. After
+//! `Sender::flush`, all frames must arrive at the peer nevertheless.
 
 use std::time::Duration;
 
@@ -43,7 +46,7 @@
             }
             sender.flush().await.unwrap();
         });
-        // Here the process ends: the runtime is dropped with whatever was not written.
+        // The process ends here: its runtime is dropped together with all unwritten messages.
     });
     let last = reading.block_on(async move {
         let (stream, _) = listener.accept().await.unwrap();
