--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,6 @@
-//! The platform's services over HTTP.
+//! HTTP client of the platform's services.
+//! Input: calls to read and write rows, objects and the instance list. State: an HTTP client.
+//! Decides whether a transaction whose answer was lost took effect.
 
 use std::time::Duration;
 
@@ -19,17 +21,17 @@
 
 use crate::error::Error;
 
-/// Table that holds a row for each transaction, by operation id, so that a lost answer can be
-/// settled.
+/// Table with one row for each transaction, by operation id, from which the outcome of a
+/// transaction is determined if its answer was lost.
 pub const OPERATIONS_TABLE: &str = "operations";
 
-/// How often a lost answer is asked for before the call counts as failed.
+/// Maximum number of attempts to determine the outcome of a transaction before its call fails.
 const RESOLVE_ATTEMPTS: u32 = 5;
 
-/// First wait between two such questions; it doubles.
+/// Delay after the first of these attempts; it doubles after each one.
 const INITIAL_RESOLVE_DELAY: Duration = Duration::from_millis(50);
 
-/// Where the platform's services are.
+/// Addresses of the platform's services, and the timeout of calls.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Base URL of the table service.
@@ -38,27 +40,27 @@
     pub object_url: String,
     /// URL of the instance list.
     pub instances_url: String,
-    /// Longest wait for one answer.
+    /// Timeout for one answer.
     pub timeout: Duration,
 }
 
 /// A transaction that took effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Committed {
-    /// Revision that its writes have; 0 if that answer was lost and the fact read back.
+    /// Revision of its writes; 0 if the answer was lost and only the outcome was determined.
     pub revision: u64,
 }
 
-/// Answer to a question for the instance list.
+/// Result of a query for the instance list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Listing {
-    /// It is still the list that the caller has.
+    /// The list is the one that the caller already has.
     Unchanged,
-    /// The list, and its tag, if the service gives one.
+    /// A new list.
     Changed {
         /// All instances.
         instances: Vec<Instance>,
-        /// Names this state of the list.
+        /// Tag of this version of the list, if the service returns one.
         tag: Option<String>,
     },
 }
@@ -71,7 +73,7 @@
 }
 
 impl Platform {
-    /// A client; connects on first use.
+    /// A client that connects on first use.
     ///
     /// # Errors
     ///
@@ -85,7 +87,7 @@
         Ok(Platform { config, http })
     }
 
-    /// One row; a row that does not exist has no value and version 0 in checks.
+    /// Reads one row; `None` if it does not exist. Checks refer to such a row by version 0.
     ///
     /// # Errors
     ///
@@ -100,7 +102,8 @@
         }
     }
 
-    /// All rows of a table that were written after `since`; deleted ones have a null value.
+    /// Reads all rows of a table that were written after revision `since`. Deleted rows have a null
+    /// value.
     ///
     /// # Errors
     ///
@@ -114,16 +117,17 @@
         }
     }
 
-    /// Runs a transaction and finds out what became of it.
+    /// Runs a transaction and determines its outcome.
     ///
-    /// A row named after a fresh operation id is written with it. If the answer is lost, writing
-    /// that row alone settles the matter: either it exists, so the transaction took effect, or
-    /// it now does, so the transaction, were it still under way, fails its check.
+    /// The transaction also writes a row whose key is a new operation id, and checks that this row
+    /// does not exist yet. If the answer is lost, a second transaction writes that row alone. If
+    /// the row exists, the first transaction took effect. Otherwise the row exists from now on, so
+    /// the first transaction, if it is still in progress, fails its check.
     ///
     /// # Errors
     ///
-    /// A conflict (nothing took effect), or an outage that outlasted all questions: then, and only
-    /// then, the outcome is unknown.
+    /// A conflict, after which nothing took effect, or an outage. The outcome is unknown only if
+    /// the outage outlasted all attempts to determine it.
     pub async fn transact(
         &self,
         checks: Vec<RowCheck>,
@@ -156,7 +160,7 @@
         require(&what, response.status())
     }
 
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     ///
@@ -174,8 +178,8 @@
         }
     }
 
-    /// The instance list; it lags. `known_tag` is the tag of the list that the caller has: if it is
-    /// still that one, it is not sent again.
+    /// Reads the instance list, which may be out of date. `known_tag` is the tag of the list that
+    /// the caller has; an unchanged list is not sent again.
     ///
     /// # Errors
     ///
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,4 +1,6 @@
-//! What can go wrong with a call to the platform.
+//! Errors of calls to the platform.
+//! Input: HTTP failures, refusals, malformed answers and conflicts. It has no state.
+//! Decides whether a failure is an outage, and whether a transaction's outcome is unknown.
 
 use std::fmt;
 
@@ -41,13 +43,13 @@
         Error { kind: ErrorKind::OutcomeUnknown, what: what.to_owned() }
     }
 
-    /// Whether a transaction may or may not have taken effect. Every other error means that it
-    /// has not and will not.
+    /// Whether it is unknown if a transaction took effect. Every other error means that it has not
+    /// and will not.
     pub fn is_outcome_unknown(&self) -> bool {
         matches!(self.kind, ErrorKind::OutcomeUnknown)
     }
 
-    /// The rows that had changed, if that is why a transaction did not take effect.
+    /// The rows that had changed, if the transaction failed for that reason.
     pub fn conflicts(&self) -> Option<&[RowCheck]> {
         match &self.kind {
             ErrorKind::Conflict(conflicts) => Some(conflicts),
@@ -77,14 +79,11 @@
             }
             ErrorKind::Refused(status) => write!(f, "{what}: refused with status {status}"),
             ErrorKind::OutcomeUnknown => {
-                write!(
-                    f,
-                    "{what}: its answer was lost, and whether it took effect is not known; read the rows back before trying again"
-                )
+                write!(f, "{what}: answer lost, outcome unknown; read the rows back before a retry")
             }
             ErrorKind::Malformed(message) => write!(f, "{what}: malformed answer: {message}"),
             ErrorKind::Conflict(conflicts) => {
-                write!(f, "{what}: changed by somebody else meanwhile:")?;
+                write!(f, "{what}: changed by another writer meanwhile:")?;
                 conflicts.iter().try_for_each(|row| {
                     write!(f, " {}/{} is at version {}", row.table, row.key, row.version)
                 })
