--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -47,7 +47,7 @@
 /// A running sidecar. Dropping it ends the sidecar and aborts all requests.
 #[derive(Debug)]
 pub struct Sidecar {
-    /// Address to which gateways open links.
+    /// Address on which links are accepted.
     pub address: SocketAddr,
     /// Address of the health and metrics endpoints.
     pub admin_address: SocketAddr,
