--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -1,11 +1,13 @@
-//! The process in a backend server's slot: links from gateways in, the backend server behind.
+//! Sidecar process, which runs beside one backend server and passes requests to it.
+//! Input: links from gateways, the configuration, and the backend server's answers.
+//! State: queue and records of requests ([`dispatch_actor`]). Decides when each request runs.
 //!
-//! - [`desk`]: the actor around the dispatcher.
-//! - [`group`]: leads the group's ranks, if this sidecar holds the lease.
+//! - [`dispatch_actor`]: the actor that owns the dispatcher.
+//! - [`group`]: leadership of the group's ranks while this sidecar holds the lease.
 //! - [`links`]: accepts links and reads their frames.
-//! - [`run`]: one request at the backend server.
+//! - [`run`]: runs one request at the backend server.
 
-mod desk;
+mod dispatch_actor;
 mod group;
 mod links;
 mod run;
@@ -23,49 +25,48 @@
 use tokio::task::AbortHandle;
 use xtra::Address;
 
-use crate::admin;
+pub use dispatch_actor::DispatchActor;
 use crate::admin::Observe;
 use crate::admin::Observed;
 use crate::admin::Sample;
+use crate::admin;
 use crate::config_sync;
 use crate::drain;
 use crate::process::Process;
 use crate::settings;
 use crate::traces::Traces;
 
-pub use desk::Desk;
-
-/// Limits before the configuration has said any.
-const FIRST_MOST_RUNNING: usize = 32;
-const FIRST_MOST_QUEUED: usize = 64;
+/// Limits that are in force until the configuration sets them.
+const INITIAL_MAX_RUNNING: usize = 32;
+const INITIAL_MAX_QUEUED: usize = 64;
 
-/// How long the records of a gateway that has gone are kept for its questions.
-const REMEMBER_GATEWAY: Millis = Millis(60_000);
+/// Time for which the records of a gateway without a link are retained for its queries.
+const GATEWAY_RETENTION: Millis = Millis(60_000);
 
-/// A running sidecar; it ends, cutting everything off, when this is dropped.
+/// A running sidecar. Dropping it ends the sidecar and aborts all requests.
 #[derive(Debug)]
 pub struct Sidecar {
-    /// Where links connect.
+    /// Address on which links are accepted.
     pub address: SocketAddr,
-    /// Where operators ask for health and metrics.
+    /// Address of the health and metrics endpoints.
     pub admin_address: SocketAddr,
-    desk: Address<Desk>,
+    actor: Address<DispatchActor>,
     tasks: [AbortHandle; 3],
     traces: Traces,
     config: config_sync::Watch,
 }
 
-/// A sidecar as operators observe it.
+/// Source of the sidecar's health and metrics.
 #[derive(Clone, Debug)]
 struct Observer {
-    desk: Address<Desk>,
+    actor: Address<DispatchActor>,
     config: config_sync::Watch,
 }
 
 impl Observe for Observer {
     async fn observe(&self) -> Observed {
         let version = config_sync::version(&self.config);
-        let Ok(load) = self.desk.send(desk::ReadLoad).await else {
+        let Ok(load) = self.actor.send(dispatch_actor::ReadLoad).await else {
             return Observed { is_ready: false, samples: Vec::new() };
         };
         let samples = vec![
@@ -88,8 +89,8 @@
 impl Drop for Sidecar {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
-        let desk = self.desk.clone();
-        tokio::spawn(async move { desk.send(desk::CutOff).await });
+        let actor = self.actor.clone();
+        tokio::spawn(async move { actor.send(dispatch_actor::AbortAll).await });
     }
 }
 
@@ -98,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or a client cannot be set up.
+    /// An address cannot be bound, or a client cannot be set up.
     pub async fn start(settings: &Settings) -> Result<Sidecar> {
         let sidecar =
             settings.sidecar.clone().ok_or_else(|| eyre::eyre!("[sidecar] is missing"))?;
@@ -106,14 +107,14 @@
         let Process { platform, sync_task, config, directory, identity, .. } = process;
         let Process { listener, address, traces, clock, .. } = process;
         let backend = run::Backend::new(&sidecar.backend_url, traces.clone())?;
-        let desk = desk::start(desk::Setup {
+        let actor = dispatch_actor::start(dispatch_actor::Setup {
             identity: identity.clone(),
             clock,
             limits: limits(&sidecar),
             backend: backend.clone(),
             config: config.clone(),
         });
-        let leading = group::lead(group::Context {
+        let leadership = group::lead(group::Context {
             platform,
             link: settings::links(settings),
             identity: identity.clone(),
@@ -127,37 +128,37 @@
             link: settings::links(settings),
             backend,
             identity,
-            desk: desk.clone(),
+            actor: actor.clone(),
             sync_task,
             config: config.clone(),
             heartbeat: settings::millis(settings.links.heartbeat_ms),
         };
         let listening = tokio::spawn(links::accept_all(listener, context)).abort_handle();
-        let leading = tokio::spawn(leading).abort_handle();
-        let observer = Observer { desk: desk.clone(), config: config.clone() };
+        let leadership = tokio::spawn(leadership).abort_handle();
+        let observer = Observer { actor: actor.clone(), config: config.clone() };
         let (admin_address, admin) =
             admin::start(&settings.instance.admin_listen, observer).await?;
-        info!("sidecar listens", kv: { address: = address.to_string().as_str() });
+        info!("sidecar listening", kv: { address: = address.to_string().as_str() });
         Ok(Sidecar {
             address,
             admin_address,
-            desk,
-            tasks: [listening, leading, admin],
+            actor,
+            tasks: [listening, leadership, admin],
             traces,
             config,
         })
     }
 
-    /// The configuration in force here.
+    /// The configuration in force.
     pub fn config(&self) -> config_sync::Watch {
         self.config.clone()
     }
 
-    /// Leaves: takes nothing new, gives back what waits, and waits for what runs.
+    /// Leaves: refuses new and queued requests, and waits until the running ones have ended.
     ///
-    /// Returns the number of requests still running when `within` had passed.
+    /// Returns the number of requests that were still running after `within`.
     pub async fn leave(&self, within: Duration) -> usize {
-        let cut_off = match self.desk.send(desk::Leave).await {
+        let cut_off = match self.actor.send(dispatch_actor::Leave).await {
             Ok(running) => drain::until_idle(running, within).await,
             Err(_) => 0,
         };
@@ -168,12 +169,12 @@
 
 fn limits(settings: &SidecarSettings) -> dispatch::Config {
     dispatch::Config {
-        max_running: FIRST_MOST_RUNNING,
-        max_queued: FIRST_MOST_QUEUED,
+        max_running: INITIAL_MAX_RUNNING,
+        max_queued: INITIAL_MAX_QUEUED,
         tickets: ticket_memory::Config {
             retention: Millis(settings.remember_ms),
             max_tickets: settings.remember_tickets as usize,
         },
-        gateway_retention: REMEMBER_GATEWAY,
+        gateway_retention: GATEWAY_RETENTION,
     }
 }
--- a/crates/hooktrestled/src/sidecar/group/session.rs
+++ b/crates/hooktrestled/src/sidecar/group/session.rs
@@ -1,4 +1,6 @@
-//! One leader's links to the ranks' sidecars, and its orders over them.
+//! Session of one leader with the ranks of its group: links to their sidecars, orders and replies.
+//! Input: the ranks' replies and the layout to switch to. State: the [`Leader`], links and experts.
+//! Decides when orders are sent again, and when a switch that is being staged is aborted.
 
 use std::time::Duration;
 
@@ -29,8 +31,8 @@
 use crate::directory;
 use crate::sidecar::group::Context;
 
-/// Wait for answers before the orders are given again.
-const REPEAT_AFTER: Duration = Duration::from_millis(200);
+/// Time without a reply after which pending orders are sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One rank's sidecar.
 #[derive(Debug)]
@@ -38,11 +40,11 @@
     name: String,
     link: Option<Link>,
     link_epoch: u64,
-    /// Experts that the rank has, as it last said.
+    /// Experts of the rank: those it last reported, or those of the layout that is being staged.
     experts: Vec<u16>,
 }
 
-/// An open link, with the task that reads it.
+/// An open link and the task that reads it.
 #[derive(Debug)]
 struct Link {
     sender: Sender,
@@ -55,7 +57,7 @@
     }
 }
 
-/// A leader at work.
+/// A leader with its links to the ranks.
 #[derive(Debug)]
 pub(super) struct Session {
     ballot: Ballot,
@@ -86,19 +88,19 @@
         }
     }
 
-    /// A step that the group is known to have reached.
+    /// Records a step that the group has reached.
     pub(super) fn observe_step(&mut self, step: u64) {
         self.leader.observe_step(step);
     }
 
-    /// Has all ranks join, ends what an older leader left behind, and returns the experts on each
+    /// Has all ranks join, ends the switches of earlier leaders, and returns the experts on each
     /// rank.
     pub(super) async fn join(
         &mut self,
         context: &Context,
         within: Duration,
     ) -> Result<Vec<Vec<u16>>> {
-        // Twice: the first may change what the ranks have, the second only reads it.
+        // The first pass may change the maps of the ranks, and the second only reads them.
         for _ in 0..2 {
             self.leader = Leader::new(self.ballot, self.members.len());
             self.drive(context, within).await?;
@@ -106,7 +108,8 @@
         Ok(self.members.iter().map(|member| member.experts.clone()).collect())
     }
 
-    /// Switches the group to a layout; `false` if that was called off, and the old one stays.
+    /// Switches the group to a layout. Returns `false` if the switch was aborted and the old layout
+    /// remains in use.
     pub(super) async fn switch(
         &mut self,
         context: &Context,
@@ -119,13 +122,13 @@
             member.experts = experts.iter().map(|expert| expert.0).collect();
         }
         let Some(map) = self.leader.propose(horizon) else {
-            bail!("a map is proposed while another is under way");
+            bail!("cannot propose an expert map while another switch is in progress");
         };
         Ok(self.drive(context, within).await? == map)
     }
 
-    /// Gives orders and takes replies until nothing is under way. What cannot be staged in time is
-    /// called off; what is decided is seen through.
+    /// Sends orders and applies replies until no switch is in progress. A map that is not staged in
+    /// time is aborted; a switch that is already decided is completed.
     async fn drive(&mut self, context: &Context, within: Duration) -> Result<MapId> {
         let within = Millis::from(within);
         let mut deadline = context.clock.now() + within;
@@ -133,27 +136,27 @@
         loop {
             match self.leader.progress() {
                 Progress::Settled(map) => return Ok(map),
-                Progress::Deposed(by) => bail!("a later leader is at work: {by:?}"),
+                Progress::Deposed(by) => bail!("a rank has joined a later leader: {by:?}"),
                 Progress::Waiting => {}
             }
             if context.clock.now() >= deadline {
-                ensure!(self.leader.is_staging(), "not all ranks answer");
+                ensure!(self.leader.is_staging(), "not all ranks replied in time");
                 self.leader.abort_staging();
                 deadline = deadline + within;
             }
             if phase != Some(self.leader.phase_number()) {
                 phase = Some(self.leader.phase_number());
-                self.give_orders(context).await;
+                self.send_orders(context).await;
             }
-            match timeout(REPEAT_AFTER, self.replies.recv()).await {
-                Ok(Some((rank, reply))) => self.take(rank, &reply),
-                Ok(None) => bail!("the session has ended"),
+            match timeout(RESEND_INTERVAL, self.replies.recv()).await {
+                Ok(Some((rank, reply))) => self.apply_reply(rank, &reply),
+                Ok(None) => bail!("the channel of replies is closed"),
                 Err(_) => phase = None,
             }
         }
     }
 
-    fn take(&mut self, rank: usize, reply: &MapReply) {
+    fn apply_reply(&mut self, rank: usize, reply: &MapReply) {
         if let MapReply::Joined(joined) = reply {
             self.members[rank].experts.clone_from(&joined.experts);
         }
@@ -162,7 +165,7 @@
         }
     }
 
-    async fn give_orders(&mut self, context: &Context) {
+    async fn send_orders(&mut self, context: &Context) {
         let mut orders: Vec<(usize, Order)> = Vec::new();
         self.leader.send(|rank, order| orders.push((rank, order)));
         for (rank, order) in orders {
@@ -176,10 +179,10 @@
         }
     }
 
-    /// The link to a rank's sidecar, opened if need be.
+    /// The link to a rank's sidecar; opens one if there is none.
     async fn link(&mut self, context: &Context, rank: usize) -> Option<Sender> {
         let replied = self.replied.clone();
-        let beat = HeartbeatFrame { config_version: self.heartbeat_version };
+        let heartbeat = HeartbeatFrame { config_version: self.heartbeat_version };
         let member = &mut self.members[rank];
         if let Some(link) = &member.link
             && !link.reading.is_finished()
@@ -188,34 +191,34 @@
         }
         let address = directory::address(&context.directory, &member.name)?;
         member.link_epoch += 1;
-        let dialled =
+        let dialling =
             hooktrestle_link::dial(&context.link, &context.identity, address, member.link_epoch);
-        let Opened { peer, sender, receiver } = dialled.await.ok()?;
+        let Opened { peer, sender, receiver } = dialling.await.ok()?;
         if peer.identity.instance != member.name {
             return None;
         }
-        let reading = tokio::spawn(read(receiver, rank, replied, sender.clone(), beat));
+        let reading = tokio::spawn(read(receiver, rank, replied, sender.clone(), heartbeat));
         member.link = Some(Link { sender: sender.clone(), reading: reading.abort_handle() });
         Some(sender)
     }
 }
 
-/// Hands replies on until the link ends; a heartbeat answers each load report, so that the link
-/// lives between plans.
+/// Forwards replies until the link ends. Replies to each load report with a heartbeat, so that the
+/// sidecar does not close the link as silent between plans.
 async fn read(
     mut receiver: Receiver,
     rank: usize,
     replied: mpsc::UnboundedSender<(usize, MapReply)>,
     sender: Sender,
-    beat: HeartbeatFrame,
+    heartbeat: HeartbeatFrame,
 ) {
     while let Ok((frame, _)) = receiver.next().await {
-        let goes_on = match frame {
+        let is_open = match frame {
             Frame::MapReply(frame) => replied.send((rank, frame.reply)).is_ok(),
-            Frame::Load(_) => sender.send(&Frame::Heartbeat(beat.clone()), &[]).await.is_ok(),
+            Frame::Load(_) => sender.send(&Frame::Heartbeat(heartbeat.clone()), &[]).await.is_ok(),
             _ => true,
         };
-        if !goes_on {
+        if !is_open {
             return;
         }
     }
--- a/crates/link/tests/links.rs
+++ b/crates/link/tests/links.rs
@@ -1,4 +1,7 @@
-//! Links between two processes: what was written arrives, also if the writing process then ends.
+//! Test of a link whose sending process ends directly after a flush.
+//!
+//! Frames that are only queued are lost when the runtime of the sending process is dropped. After
+//! `Sender::flush`, all frames must arrive at the peer nevertheless.
 
 use std::time::Duration;
 
@@ -15,7 +18,7 @@
 
 fn config() -> Config {
     let keys = Keys::parse("key").unwrap();
-    Config { keys, frame_limit: 1 << 20, silence: Duration::from_secs(20) }
+    Config { keys, max_message_bytes: 1 << 20, silence_timeout: Duration::from_secs(20) }
 }
 
 fn identity(instance: &str) -> Identity {
@@ -43,7 +46,7 @@
             }
             sender.flush().await.unwrap();
         });
-        // Here the process ends: the runtime is dropped with whatever was not written.
+        // The process ends here: its runtime is dropped together with all unwritten messages.
     });
     let last = reading.block_on(async move {
         let (stream, _) = listener.accept().await.unwrap();
