--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -25,16 +25,16 @@
 use tokio::task::AbortHandle;
 use xtra::Address;
 
-pub use dispatch_actor::DispatchActor;
+use crate::admin;
 use crate::admin::Observe;
 use crate::admin::Observed;
 use crate::admin::Sample;
-use crate::admin;
 use crate::config_sync;
 use crate::drain;
 use crate::process::Process;
 use crate::settings;
 use crate::traces::Traces;
+pub use dispatch_actor::DispatchActor;
 
 /// Limits that are in force until the configuration sets them.
 const INITIAL_MAX_RUNNING: usize = 32;
--- a/crates/hooktrestled/src/sidecar/links.rs
+++ b/crates/hooktrestled/src/sidecar/links.rs
@@ -26,10 +26,10 @@
 use xtra::Address;
 
 use crate::config_exchange::ConfigExchange;
-use crate::config_sync::ConfigSync;
 use crate::config_sync;
-use crate::sidecar::dispatch_actor::DispatchActor;
+use crate::config_sync::ConfigSync;
 use crate::sidecar::dispatch_actor;
+use crate::sidecar::dispatch_actor::DispatchActor;
 use crate::sidecar::run::Backend;
 use crate::sidecar::run::BodyChunk;
 use crate::sidecar::run::Job;
