--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -214,7 +214,7 @@
     ledger: &Ledger,
 ) -> Verdict {
     let Ok(answer) = request.send().await else { return Verdict::Open };
-    if caller::says_not_run(&answer) && !caller::is_signed(&answer) {
+    if caller::reports_not_run(&answer) && !caller::is_signed(&answer) {
         let text = answer.text().await.unwrap_or_default();
         if text.contains(CRASHES_SERVERS) {
             ledger.broken(Promise::Crashing, format!("{id} is taken for one that crashes servers"));
@@ -285,7 +285,7 @@
         world.send(&id, !path.starts_with("/once"), gateway.at.callers);
         let asked = caller::request(&client, gateway.at.callers, path, &id, DEADLINE_MS);
         let verdict = match asked.body(body.clone()).send().await {
-            Ok(answer) if caller::says_not_run(&answer) && !caller::is_signed(&answer) => {
+            Ok(answer) if caller::reports_not_run(&answer) && !caller::is_signed(&answer) => {
                 Verdict::NotRun
             }
             Ok(answer) => {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -16,7 +16,7 @@
 use eyre::WrapErr;
 use eyre::ensure;
 use hooktrestle_users_standin::proxy::Proxy;
-use hooktrestle_users_standin::store::Mood;
+use hooktrestle_users_standin::store::Mode;
 use hooktrestle_users_standin::store::Store;
 use rustix::process::Pid;
 use rustix::process::Signal;
@@ -215,9 +215,9 @@
             | Kind::StoreHoldsRequests
             | Kind::StoreHoldsAnswers => ways::trouble(&gateway.way, kind, lasts).await,
             Kind::StoreTurnsAway => {
-                gateway.store.set_mood(Mood::Busy);
+                gateway.store.set_mode(Mode::Busy);
                 time::sleep(lasts).await;
-                gateway.store.set_mood(Mood::Well);
+                gateway.store.set_mode(Mode::Normal);
             }
             _ => {}
         }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -9,7 +9,7 @@
 use std::fmt::Formatter;
 use std::time::Duration;
 
-use hooktrestle_users_standin::server::Arrived;
+use hooktrestle_users_standin::server::ReceivedRequest;
 use hooktrestle_users_standin::server::Server;
 use tokio::time::Instant;
 
@@ -372,22 +372,22 @@
         self.crashing.borrow_mut().insert(body.to_owned(), Crashing::default());
     }
 
-    fn judge_crashing(&self, server: &Server, arrived: &Arrived) {
-        let calm = self.is_calm_but_for(&MAY_GO_ON, arrived.at - self.bounds.contact);
+    fn judge_crashing(&self, server: &Server, received: &ReceivedRequest) {
+        let calm = self.is_calm_but_for(&MAY_GO_ON, received.at - self.bounds.contact);
         let mut crashing = self.crashing.borrow_mut();
-        let Some(seen) = crashing.get_mut(&arrived.body) else { return };
-        seen.crashed += u32::from(arrived.ran);
+        let Some(seen) = crashing.get_mut(&received.body) else { return };
+        seen.crashed += u32::from(received.ran);
         if seen.crashed >= TELLING && seen.told_at.is_none() {
-            seen.told_at = Some(arrived.at);
+            seen.told_at = Some(received.at);
             drop(crashing);
             self.judge(Promise::Crashing);
             return;
         }
-        let known = seen.told_at.is_some_and(|at| arrived.at > at + self.bounds.contact);
+        let known = seen.told_at.is_some_and(|at| received.at > at + self.bounds.contact);
         seen.late += u32::from(known && calm);
         if known && calm && seen.late > MOST_LATE {
             let what =
-                format!("{} was sent {}, {} ended in all", server.id, arrived.body, seen.crashed);
+                format!("{} was sent {}, {} ended in all", server.id, received.body, seen.crashed);
             drop(crashing);
             self.broken(Promise::Crashing, what);
         }
@@ -419,47 +419,48 @@
     }
 
     /// Judges whether a server had asked the gateway not to send a request, then keeps what it asks now.
-    fn judge_asked(&self, server: &Server, arrived: &Arrived, request: Request) {
-        let Some(through) = self.through.borrow().get(arrived.id()).copied() else { return };
-        let id = arrived.id();
+    fn judge_asked(&self, server: &Server, received: &ReceivedRequest, request: Request) {
+        let Some(through) = self.through.borrow().get(received.id()).copied() else { return };
+        let id = received.id();
         let of_both = |one: &&AskedOf| one.server == server.id && one.through == through;
         let asked: Vec<AskedOf> = self.asked.borrow().iter().filter(of_both).cloned().collect();
         for AskedOf { at, until, .. } in asked {
             let broken = match until {
-                Some(until) if arrived.at > at + self.bounds.rest && arrived.at < until => {
+                Some(until) if received.at > at + self.bounds.rest && received.at < until => {
                     Promise::Rest
                 }
                 None if request.sent_at > at + self.bounds.drain => Promise::Parting,
                 _ => continue,
             };
             if self.is_calm_but_for(&MAY_GO_ON_ASKED, at) {
-                let after = arrived.at.duration_since(at);
+                let after = received.at.duration_since(at);
                 let what = format!("{} was sent {id} {after:?} after it had asked", server.id);
                 self.broken(broken, what);
             }
         }
         // Read apart from the product; what is no time is no rest.
-        let rest_s = arrived.asked_rest.as_deref().and_then(|text| text.parse::<f64>().ok());
+        let rest_s =
+            received.requested_back_off.as_deref().and_then(|text| text.parse::<f64>().ok());
         let asks = |promise, until| {
-            if self.is_calm_but_for(&MAY_GO_ON_ASKED, arrived.at) {
+            if self.is_calm_but_for(&MAY_GO_ON_ASKED, received.at) {
                 self.judge(promise);
             }
-            let (server, at) = (server.id.clone(), arrived.at);
+            let (server, at) = (server.id.clone(), received.at);
             self.asked.borrow_mut().push(AskedOf { server, through, at, until });
         };
         if let Some(rest_s) = rest_s.filter(|rest_s| *rest_s > 0.0) {
-            asks(Promise::Rest, Some(arrived.at + Duration::from_secs_f64(rest_s)));
+            asks(Promise::Rest, Some(received.at + Duration::from_secs_f64(rest_s)));
         }
-        if arrived.told_leaving {
+        if received.reported_leaving {
             asks(Promise::Parting, None);
         }
     }
 
     /// Judges whether a server got more than it takes.
-    fn judge_limit(&self, server: &Server, arrived: &Arrived) {
-        let Some(through) = self.through.borrow().get(arrived.id()).copied() else { return };
+    fn judge_limit(&self, server: &Server, received: &ReceivedRequest) {
+        let Some(through) = self.through.borrow().get(received.id()).copied() else { return };
         let Bounds { limit, rest, .. } = self.bounds;
-        let count = self.limits.borrow_mut().count(&server.id, arrived, through, limit, rest);
+        let count = self.limits.borrow_mut().count(&server.id, received, through, limit, rest);
         let may_go_on = [&MAY_GO_ON_ASKED[..], &MAY_GO_ON_LIMITED].concat();
         match count {
             Count::Not => {}
@@ -486,18 +487,18 @@
     pub fn look(&self) {
         let mut servers = self.servers.borrow_mut();
         for Watched { server, seen, leaving } in servers.iter_mut() {
-            for arrived in server.arrived_since(*seen) {
+            for received in server.received_since(*seen) {
                 *seen += 1;
-                self.judge_arrival(server, &arrived, *leaving);
+                self.judge_arrival(server, &received, *leaving);
             }
-            for arrived in server.unended() {
-                self.judge_close(server, &arrived);
+            for received in server.unfinished() {
+                self.judge_close(server, &received);
             }
         }
     }
 
-    fn judge_arrival(&self, server: &Server, arrived: &Arrived, leaving: Option<Instant>) {
-        let id = arrived.id();
+    fn judge_arrival(&self, server: &Server, received: &ReceivedRequest, leaving: Option<Instant>) {
+        let id = received.id();
         // A look at its health, or at its engine.
         if id.is_empty() {
             return;
@@ -507,14 +508,14 @@
             self.broken(Promise::Asked, format!("{} was sent {id}, which nobody asked", server.id));
             return;
         };
-        if let Some(since) = leaving.filter(|since| arrived.at > *since + self.bounds.drain)
+        if let Some(since) = leaving.filter(|since| received.at > *since + self.bounds.drain)
             && self.is_calm_since(since)
         {
-            let late = arrived.at.duration_since(since);
+            let late = received.at.duration_since(since);
             self.broken(Promise::Drain, format!("{} was sent {id} {late:?} after", server.id));
         }
         if let Verdict::Left(at) = request.verdict
-            && arrived.at > at + self.bounds.close
+            && received.at > at + self.bounds.close
             && self.is_calm_since(at)
         {
             self.broken(
@@ -522,10 +523,10 @@
                 format!("{id} reached {} after its caller left", server.id),
             );
         }
-        self.judge_crashing(server, arrived);
-        self.judge_asked(server, arrived, request);
-        self.judge_limit(server, arrived);
-        if !arrived.ran {
+        self.judge_crashing(server, received);
+        self.judge_asked(server, received, request);
+        self.judge_limit(server, received);
+        if !received.ran {
             return;
         }
         let runs = {
@@ -543,12 +544,12 @@
         }
     }
 
-    fn judge_close(&self, server: &Server, arrived: &Arrived) {
-        let request = self.requests.borrow().get(arrived.id()).copied();
+    fn judge_close(&self, server: &Server, received: &ReceivedRequest) {
+        let request = self.requests.borrow().get(received.id()).copied();
         let Some(Verdict::Left(at)) = request.map(|request| request.verdict) else { return };
         let is_due = at.elapsed() > self.bounds.close && self.is_calm_since(at);
-        if is_due && self.noticed.borrow_mut().insert(arrived.id().to_owned()) {
-            let what = format!("{} still runs {}, whose caller left", server.id, arrived.id());
+        if is_due && self.noticed.borrow_mut().insert(received.id().to_owned()) {
+            let what = format!("{} still runs {}, whose caller left", server.id, received.id());
             self.broken(Promise::Close, what);
         }
     }
@@ -559,18 +560,18 @@
         let mut sent: Vec<Instant> =
             self.requests.borrow().values().map(|request| request.sent_at).collect();
         sent.sort();
-        let mut arrived: Vec<(Instant, String)> = self
+        let mut received: Vec<(Instant, String)> = self
             .servers
             .borrow()
             .iter()
-            .flat_map(|watched| watched.server.arrived())
+            .flat_map(|watched| watched.server.received())
             .filter(|one| !one.id().is_empty())
             .map(|one| (one.at, one.id().to_owned()))
             .collect();
-        arrived.sort();
+        received.sort();
         let mut known = HashSet::new();
         let repeated: Vec<Instant> =
-            arrived.into_iter().filter_map(|(at, id)| (!known.insert(id)).then_some(at)).collect();
+            received.into_iter().filter_map(|(at, id)| (!known.insert(id)).then_some(at)).collect();
         let within = |times: &[Instant], from: Instant, to: Instant| {
             times.partition_point(|at| *at <= to) - times.partition_point(|at| *at <= from)
         };
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use hooktrestle_users_standin::server::Arrived;
+use hooktrestle_users_standin::server::ReceivedRequest;
 use tokio::time::Instant;
 
 use crate::ledger::Through;
@@ -48,17 +48,17 @@
     pub fn count(
         &mut self,
         server: &str,
-        arrived: &Arrived,
+        received: &ReceivedRequest,
         through: Through,
         holds_after: Duration,
         told_for: Duration,
     ) -> Count {
         // Read apart from the product; what is no number is no limit.
-        let Some((text, limit)) = named(arrived) else {
+        let Some((text, limit)) = named(received) else {
             self.named.remove(server);
             return Count::Not;
         };
-        let at = arrived.at;
+        let at = received.at;
         let fresh = || Naming {
             text: text.clone(),
             since: at,
@@ -87,8 +87,8 @@
     }
 }
 
-fn named(arrived: &Arrived) -> Option<(String, f64)> {
-    let text = arrived.named_limit.clone()?;
+fn named(received: &ReceivedRequest) -> Option<(String, f64)> {
+    let text = received.advertised_limit.clone()?;
     let limit = text.parse::<f64>().ok().filter(|limit| *limit >= 0.0 && limit.is_finite())?;
     Some((text, limit))
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -8,10 +8,10 @@
 
 use hooktrestle_users_standin::configuration_with;
 use hooktrestle_users_standin::proxy::Proxy;
-use hooktrestle_users_standin::server::Act;
+use hooktrestle_users_standin::server::Action;
 use hooktrestle_users_standin::server::Server;
-use hooktrestle_users_standin::store::Copy;
-use hooktrestle_users_standin::store::Mood;
+use hooktrestle_users_standin::store::Mode;
+use hooktrestle_users_standin::store::Snapshot;
 use hooktrestle_users_standin::store::Store;
 use tokio::task;
 use tokio::time;
@@ -66,7 +66,7 @@
     /// Bodies under which servers crash.
     crashes_on: RefCell<Vec<String>>,
     /// Copies of the store, the newest at the end.
-    copies: RefCell<VecDeque<(Instant, Copy)>>,
+    copies: RefCell<VecDeque<(Instant, Snapshot)>>,
     /// Drills that go on.
     drills: Cell<u32>,
 }
@@ -115,10 +115,10 @@
         let number = self.begun.get() + 1;
         self.begun.set(number);
         let server = Server::start(&format!("s{number}")).await;
-        server.usually(Act::Work);
+        server.set_default_action(Action::Work);
         self.crashes_on.borrow().iter().for_each(|body| server.crash_on(body));
         let way = Proxy::open(server.address).await;
-        self.store.put("servers", &server.id, &server.entry_by(way.address, "ready"));
+        self.store.put("servers", &server.id, &server.entry_via(way.address, "ready"));
         self.ledger.serve(&server);
         self.open.borrow_mut().push(Placed { server, way });
     }
@@ -130,9 +130,9 @@
     }
 
     /// Copies the store.
-    fn copy(&self) {
+    fn snapshot(&self) {
         let mut copies = self.copies.borrow_mut();
-        copies.push_back((Instant::now(), self.store.copy()));
+        copies.push_back((Instant::now(), self.store.snapshot()));
         while copies.front().is_some_and(|(at, _)| at.elapsed() > OLDEST_COPY) {
             copies.pop_front();
         }
@@ -140,15 +140,15 @@
 
     /// The store is away, and comes back from a copy that is as old as `target` tells.
     async fn drill(self: &Rc<Self>, target: usize, lasts: Duration) {
-        let copy = {
+        let snapshot = {
             let copies = self.copies.borrow();
-            copies.get(target % copies.len().max(1)).map(|(_, copy)| copy.clone())
+            copies.get(target % copies.len().max(1)).map(|(_, snapshot)| snapshot.clone())
         };
-        let Some(copy) = copy else { return };
+        let Some(snapshot) = snapshot else { return };
         self.drills.set(self.drills.get() + 1);
-        let mood = [Mood::Busy, Mood::Silent][target % 2];
+        let mood = [Mode::Busy, Mode::Unresponsive][target % 2];
         self.mood(mood, lasts).await;
-        let lost = self.store.restore(&copy);
+        let lost = self.store.restore(&snapshot);
         self.drills.set(self.drills.get() - 1);
         // What the drill before had lost is not written by then.
         self.copies.borrow_mut().clear();
@@ -160,7 +160,7 @@
             let after_ms = (target + number * 7_919) as u64 % WRITTEN_AGAIN_MS;
             task::spawn_local(async move {
                 time::sleep(Duration::from_millis(after_ms)).await;
-                site.store.write_again(&write);
+                site.store.rewrite(&write);
             });
         }
     }
@@ -169,8 +169,8 @@
     pub fn look(self: &Rc<Self>) {
         if self.drills.get() == 0 {
             // Servers check in.
-            self.store.count_up();
-            self.copy();
+            self.store.advance_revision();
+            self.snapshot();
         }
         let crashed = |placed: &&Placed| placed.server.has_crashed();
         let crashed: Vec<Placed> = self.open.borrow().iter().filter(crashed).cloned().collect();
@@ -193,10 +193,10 @@
     /// A trouble of the store or of a server, until it is over.
     pub async fn trouble(self: &Rc<Self>, kind: Kind, target: usize, lasts: Duration) {
         match kind {
-            Kind::StoreBusy => self.mood(Mood::Busy, lasts).await,
-            Kind::StoreSilent => self.mood(Mood::Silent, lasts).await,
-            Kind::StoreLosesAnswers => self.mood(Mood::LosesAnswers, lasts).await,
-            Kind::StoreForgets => self.store.forget_history(),
+            Kind::StoreBusy => self.mood(Mode::Busy, lasts).await,
+            Kind::StoreSilent => self.mood(Mode::Unresponsive, lasts).await,
+            Kind::StoreLosesAnswers => self.mood(Mode::LosesAnswers, lasts).await,
+            Kind::StoreForgets => self.store.discard_history(),
             Kind::StoreDrill => self.drill(target, lasts).await,
             Kind::ServerMute
             | Kind::ServerReset
@@ -224,19 +224,19 @@
 
     /// One more address of the store, for one gateway.
     pub async fn door(&self) -> Store {
-        let door = self.store.other_door().await;
+        let door = self.store.with_another_address().await;
         self.doors.borrow_mut().push(door.clone());
         door
     }
 
-    fn set_moods(&self, mood: Mood) {
-        self.doors.borrow().iter().for_each(|door| door.set_mood(mood));
+    fn set_moods(&self, mood: Mode) {
+        self.doors.borrow().iter().for_each(|door| door.set_mode(mood));
     }
 
-    async fn mood(&self, mood: Mood, lasts: Duration) {
+    async fn mood(&self, mood: Mode, lasts: Duration) {
         self.set_moods(mood);
         time::sleep(lasts).await;
-        self.set_moods(Mood::Well);
+        self.set_moods(Mode::Normal);
     }
 
     async fn server_trouble(
@@ -248,25 +248,27 @@
     ) {
         let Placed { server, way } = placed;
         let act = match kind {
-            Kind::ServerRefuses => Act::Refuse,
-            Kind::ServerFails => Act::Fail,
-            Kind::ServerLosesAnswers => Act::LoseAnswer,
-            Kind::ServerAnswersTwice => Act::WorkTwice,
-            Kind::ServerForges => Act::Forge("forged".to_owned()),
-            Kind::ServerAsksRest => Act::AskRest(RESTS[target % RESTS.len()].to_owned()),
+            Kind::ServerRefuses => Action::Refuse,
+            Kind::ServerFails => Action::Fail,
+            Kind::ServerLosesAnswers => Action::LoseAnswer,
+            Kind::ServerAnswersTwice => Action::WorkAndAnswerTwice,
+            Kind::ServerForges => Action::AnswerUnsigned("forged".to_owned()),
+            Kind::ServerAsksRest => {
+                Action::RefuseWithBackOff(RESTS[target % RESTS.len()].to_owned())
+            }
             Kind::ServerSaysItLeaves => return self.part(&server).await,
             Kind::ServerNamesLimit => {
-                server.name_limit(Some(LIMITS[target % LIMITS.len()]));
+                server.advertise_limit(Some(LIMITS[target % LIMITS.len()]));
                 time::sleep(lasts).await;
-                return server.name_limit(None);
+                return server.advertise_limit(None);
             }
             Kind::ServerDrain => return self.drain(&server, &way).await,
             Kind::ServerCrash => return self.crash(&server, lasts).await,
             _ => return ways::trouble(&way, kind, lasts).await,
         };
-        server.usually(act);
+        server.set_default_action(act);
         time::sleep(lasts).await;
-        server.usually(Act::Work);
+        server.set_default_action(Action::Work);
     }
 
     async fn crash(&self, server: &Server, lasts: Duration) {
@@ -286,7 +288,7 @@
     async fn drain(self: &Rc<Self>, server: &Server, way: &Proxy) {
         self.close(&server.id);
         self.add_server().await;
-        self.store.put("servers", &server.id, &server.entry_by(way.address, "draining"));
+        self.store.put("servers", &server.id, &server.entry_via(way.address, "draining"));
         self.ledger.leaves(&server.id);
         self.unlist(server).await;
     }
@@ -295,7 +297,7 @@
     async fn part(self: &Rc<Self>, server: &Server) {
         self.close(&server.id);
         self.add_server().await;
-        server.say_it_leaves(true);
+        server.report_leaving(true);
         self.unlist(server).await;
         self.ledger.leaves(&server.id);
     }
--- a/crates/soak/src/ways.rs
+++ b/crates/soak/src/ways.rs
@@ -14,7 +14,7 @@
 /// A trouble of a way, until it is over.
 pub async fn trouble(way: &Proxy, kind: Kind, lasts: Duration) {
     let state = match kind {
-        Kind::StoreMute | Kind::ServerMute => return way.mute(),
+        Kind::StoreMute | Kind::ServerMute => return way.freeze(),
         Kind::StoreReset | Kind::ServerReset => return way.reset(),
         Kind::StoreSlow | Kind::ServerSlow => State::Slow(SLOW),
         Kind::StoreHoldsRequests | Kind::ServerHoldsRequests => State::HoldsRequests,
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -8,7 +8,7 @@
 use hooktrestle_soak::ledger::Through;
 use hooktrestle_soak::ledger::Verdict;
 use hooktrestle_users_standin::caller;
-use hooktrestle_users_standin::server::Act;
+use hooktrestle_users_standin::server::Action;
 use hooktrestle_users_standin::server::Server;
 use reqwest::Client;
 use tokio::runtime::Builder;
@@ -27,7 +27,7 @@
 
 async fn server(ledger: &Ledger) -> Server {
     let server = Server::start("s1").await;
-    server.usually(Act::Work);
+    server.set_default_action(Action::Work);
     ledger.serve(&server);
     server
 }
@@ -79,7 +79,7 @@
     run(async {
         let ledger = Ledger::new(Bounds::default());
         let server = server(&ledger).await;
-        server.usually(Act::Refuse);
+        server.set_default_action(Action::Refuse);
         ledger.send("r1", false);
         reach(&server, "r1").await;
         ledger.end("r1", Verdict::NotRun);
@@ -117,18 +117,18 @@
     run(async {
         let ledger = Ledger::new(strict());
         let server = server(&ledger).await;
-        server.usually(Act::Hang);
+        server.set_default_action(Action::Hang);
         ledger.send("r1", true);
         let asked = server.clone();
         let asks = tokio::task::spawn_local(async move { reach(&asked, "r1").await });
-        while server.unended().is_empty() {
+        while server.unfinished().is_empty() {
             tokio::task::yield_now().await;
         }
         assert_eq!(found(&ledger), []);
         ledger.end("r1", Verdict::Left(Instant::now()));
         assert_eq!(found(&ledger), [Promise::Close]);
         asks.abort();
-        server.left.notified().await;
+        server.caller_left.notified().await;
         assert_eq!(found(&ledger), [Promise::Close], "once");
     });
 }
@@ -168,8 +168,8 @@
         let bounds = Bounds { rest: Duration::ZERO, ..Bounds::default() };
         let ledger = Ledger::new(bounds);
         let server = server(&ledger).await;
-        let asks = ["30", "soon"].map(|text| Act::AskRest(text.to_owned()));
-        server.next(asks);
+        let asks = ["30", "soon"].map(|text| Action::RefuseWithBackOff(text.to_owned()));
+        server.queue_actions(asks);
         let (one, other) = (Through { gateway: 0, life: 1 }, Through { gateway: 1, life: 1 });
         let sent = [
             ("r1", one),
@@ -193,7 +193,7 @@
     run(async {
         let ledger = Ledger::new(strict());
         let server = server(&ledger).await;
-        server.say_it_leaves(true);
+        server.report_leaving(true);
         let one = Through { gateway: 0, life: 1 };
         for (id, through) in [("r1", one), ("r2", Through { life: 2, ..one }), ("r3", one)] {
             ledger.send(id, true);
@@ -209,7 +209,7 @@
     run(async {
         let ledger = Ledger::new(strict());
         let server = server(&ledger).await;
-        server.name_limit(Some("0.5"));
+        server.advertise_limit(Some("0.5"));
         // 0.5 a second allow 8 in 4 s.
         for number in 0..9 {
             assert_eq!(found(&ledger), [], "{number}");
@@ -219,7 +219,7 @@
             reach(&server, &id).await;
         }
         assert_eq!(found(&ledger), [Promise::Limit]);
-        server.name_limit(None);
+        server.advertise_limit(None);
         for number in 0..20 {
             let id = format!("free{number}");
             ledger.send(&id, false);
