--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -59,7 +59,7 @@
 /// Accepts callers' connections until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener) {
     let log_error = |error: &io::Error| {
-        gateway.journal.state(format_args!("accepting a caller's connection failed: {error}"));
+        gateway.event_log.state(format_args!("accepting a caller's connection failed: {error}"));
     };
     loop {
         let stream = accept::next(&listener, log_error).await;
@@ -164,12 +164,12 @@
     body: Incoming,
 ) -> Result<(Request<P>, Reply<P>), Refusal> {
     match request::read(gateway, parts, body).await {
-        Ok(request) if !gateway.takes(request.route().kind) => {
+        Ok(request) if !gateway.accepts(request.route().kind) => {
             // Another gateway can take the request at once.
             Err(Refusal::not_run(Cause::Leaving).retry_after(Millis::ZERO))
         }
         Ok(mut request) => {
-            let trial = gateway.begin(request.fingerprint).await;
+            let trial = gateway.begin_trial_if_suspect(request.fingerprint).await;
             request.trial =
                 trial.map_err(|(cause, left)| Refusal::not_run(cause).retry_after(left))?;
             admit_stream(gateway, &mut request).await?;
@@ -189,8 +189,9 @@
     request: &mut Request<P>,
 ) -> Result<(), Refusal> {
     // `forward` waits for a permit that becomes available within this time.
-    let bound =
-        gateway.all_bound(&request.service).filter(|after| *after > forward::MAX_PERMIT_WAIT);
+    let bound = gateway
+        .all_unavailable_for(&request.service)
+        .filter(|after| *after > forward::MAX_PERMIT_WAIT);
     if let Some(after) = bound {
         return Err(Refusal::not_run(Cause::NoBackendServer).retry_after(after));
     }
@@ -202,7 +203,7 @@
             Ok(())
         }
         Err(after) => {
-            gateway.metrics.crowded.inc();
+            gateway.metrics.streams_over_capacity.inc();
             Err(Refusal::not_run(Cause::QueueFull).retry_after(after))
         }
     }
@@ -217,7 +218,7 @@
     let id_text = id.and_then(|id| id.to_str().ok()).unwrap_or("?");
     let held_ms = gateway.now().since(received_at).0;
     let (verdict, cause) = (refusal.verdict, refusal.cause);
-    gateway.journal.request(id_text, RefusedStep { held_ms, cause, verdict });
+    gateway.event_log.request(id_text, RefusedStep { held_ms, cause, verdict });
     gateway.metrics.refused.inc();
     if let Some(counter) = gateway.metrics.of_refusal(cause) {
         counter.inc();
--- a/crates/direct/src/endpoints.rs
+++ b/crates/direct/src/endpoints.rs
@@ -51,7 +51,9 @@
 /// Answers queries of one kind until the process ends.
 pub async fn serve<P: Platform>(gateway: Rc<Gateway<P>>, listener: TcpListener, kind: QueryKind) {
     let log_error = |error: &io::Error| {
-        gateway.journal.state(format_args!("accepting a connection for {kind:?} failed: {error}"));
+        gateway
+            .event_log
+            .state(format_args!("accepting a connection for {kind:?} failed: {error}"));
     };
     loop {
         let stream = accept::next(&listener, log_error).await;
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,39 +1,44 @@
-//! A gateway that sends requests straight to backend servers, with no process of ours beside them.
+//! Gateway that sends requests directly to backend servers, without sidecars on their path.
+//! Input: requests of callers, tables of the platform, gossip of peers. State: one [`Gateway`].
+//! Its tasks carry out what the rules in [`hooktrestle_core::direct`] decide, on one thread.
 //!
-//! One thread, one [`Gateway`] that all tasks share, and tasks that carry out what
-//! [`hooktrestle_core::direct`] decides. The way of a request:
+//! The path of a request:
 //!
-//! 1. `callers` takes connections from `accept` and watches how long they rest.
+//! 1. `callers` accepts connections through `accept` and watches how long they are idle.
 //! 2. `request` reads one request and admits it under the configuration in force.
-//! 3. `admission_queue` lets a stream in as far as the passes of its service bear it.
-//! 4. `forward` sends it, again where that is allowed, and finds its one answer.
-//! 5. `exchange` is one attempt, over a connection from `connections`.
-//! 6. `relay` passes the answer on as it comes, and takes up a broken stream elsewhere.
+//! 3. `admission_queue` admits a stream if the passes of its service remain short enough.
+//! 4. `forward` sends it, with retries where these are allowed, and returns its one answer.
+//! 5. `exchange` makes one attempt, over a connection from `connections`.
+//! 6. `relay` relays the answer as it arrives, and resumes a truncated stream at another server.
 //!
-//! Beside it, `follow` keeps the tables of the platform up to date, `peers` exchanges them with
-//! other gateways, `crash_keeper` keeps on the platform under which requests servers crash, `permits`
-//! holds all gateways together to the limits that servers name, `maps` moves experts between the ranks
-//! of groups as demand changes, through [`sidecar`], the process beside each backend server, where there
-//! is one, and `endpoints` tells callers which gateways there are. What the platform is like stands
-//! behind one trait, [`platform::Platform`].
+//! Other tasks keep the state up to date:
+//!
+//! - `table_sync` follows the tables of the platform, and `peers` gossips them to other gateways.
+//! - `crash_sync` stores crashes of servers on the platform, with the requests that ran there.
+//! - `permits` keeps all gateways together within the limits that servers advertise.
+//! - `stalled_groups` polls groups that are stalled, so that their servers are excluded.
+//! - `maps` moves experts between the ranks of groups as demand changes, through [`sidecar`], the
+//!   process beside each backend server, where there is one.
+//! - `endpoints` sends callers the list of gateways.
+//!
+//! The platform is accessed through one trait, [`platform::Platform`].
 
 mod accept;
 pub mod admission_queue;
 mod callers;
+mod compression;
 mod connections;
-mod crash_keeper;
+mod crash_sync;
 pub mod dial;
 mod endpoints;
 pub mod engine;
+mod event_log;
 mod exchange;
-mod follow;
 mod forward;
 mod gateway;
 mod headers;
-mod journal;
 mod maps;
 mod metrics;
-mod packing;
 mod peers;
 mod permits;
 pub mod platform;
@@ -42,6 +47,7 @@
 mod request;
 pub mod settings;
 pub mod sidecar;
-mod standing;
+mod stalled_groups;
+mod table_sync;
 
 pub use gateway::Gateway;
--- a/crates/hooktrestled/src/gateway/links.rs
+++ b/crates/hooktrestled/src/gateway/links.rs
@@ -1,4 +1,6 @@
-//! Keeps one link to each sidecar open, and hands each frame to the request that it is for.
+//! The gateway's end of a link to one sidecar. Its input is the instance list and the frames of the
+//! sidecar; its state is the open link and the requests registered on it. It decides when to dial
+//! again, and routes each frame to the request that the frame names.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,102 +23,102 @@
 use tokio::sync::mpsc;
 use xtra::WeakAddress;
 
-use crate::config_keeper;
-use crate::config_keeper::ConfigKeeper;
+use crate::config_exchange::ConfigExchange;
+use crate::config_sync;
+use crate::config_sync::ConfigSync;
 use crate::directory;
-use crate::gateway::router::Down;
+use crate::gateway::router::LinkDown;
+use crate::gateway::router::LinkUp;
 use crate::gateway::router::Load;
 use crate::gateway::router::Router;
 use crate::gateway::router::Server;
-use crate::gateway::router::Up;
 use crate::poll::jittered;
-use crate::spread::Spread;
 
-/// First wait before a lost link is dialled again; it doubles up to [`LONGEST_BACKOFF`].
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// First wait before a lost link is dialled again. It doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest such wait.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+/// Maximum wait before a lost link is dialled again.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What every link needs.
+/// Configuration and shared state of all links.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
     pub(crate) link: hooktrestle_link::Config,
     pub(crate) identity: Identity,
     pub(crate) data_centre: String,
     pub(crate) directory: directory::Watch,
-    pub(crate) config: config_keeper::Watch,
-    pub(crate) keeper: xtra::Address<ConfigKeeper>,
-    pub(crate) heartbeat: Duration,
+    pub(crate) config: config_sync::Watch,
+    pub(crate) sync_task: xtra::Address<ConfigSync>,
+    pub(crate) heartbeat_interval: Duration,
     pub(crate) clock: ProcessClock,
 }
 
-/// What a request hears from the link that carries it.
+/// Event of a link, for a request registered on it.
 #[derive(Debug)]
 #[allow(clippy::large_enum_variant, reason = "a box would cost an allocation for each token")]
 pub(crate) enum Event {
     /// A frame, with its payload.
     Frame(Frame, Bytes),
-    /// The link is gone; nothing more will come.
+    /// The link is lost. This is the last event.
     Lost,
 }
 
-type Waiting = Arc<Mutex<Option<HashMap<u64, mpsc::UnboundedSender<Event>>>>>;
+type Pending = Arc<Mutex<Option<HashMap<u64, mpsc::UnboundedSender<Event>>>>>;
 
-/// An open link, as requests use it; clones share it.
+/// An open link. Clones refer to the same link.
 #[derive(Clone, Debug)]
 pub(crate) struct Handle {
-    /// Sends frames.
+    /// Sender of frames on the link.
     pub(crate) sender: Sender,
     /// The sidecar's instance.
     pub(crate) sidecar: Arc<str>,
     /// The sidecar's incarnation.
     pub(crate) incarnation: u64,
-    /// Grows with each link to this sidecar.
+    /// Number of the link among those to this sidecar. Later links have higher numbers.
     pub(crate) epoch: u64,
-    /// Requests that wait for frames; `None` once the link is lost.
-    waiting: Waiting,
+    /// Requests that wait for frames, by number; `None` once the link is lost.
+    pending: Pending,
 }
 
 impl Handle {
-    /// Registers a request for the frames that are about it; `None` if the link is lost.
+    /// Registers a request for the frames that name it; `None` if the link is lost.
     ///
-    /// Memory is bounded by the credit that the request gives.
+    /// The channel has no bound of its own: the credit that the request grants bounds its memory.
     pub(crate) fn register(&self, number: u64) -> Option<mpsc::UnboundedReceiver<Event>> {
         let (events, receiver) = mpsc::unbounded_channel();
-        lock(&self.waiting).as_mut()?.insert(number, events);
+        lock(&self.pending).as_mut()?.insert(number, events);
         Some(receiver)
     }
 
-    /// Ends what [`Handle::register`] began.
-    pub(crate) fn forget(&self, number: u64) {
-        if let Some(waiting) = lock(&self.waiting).as_mut() {
-            waiting.remove(&number);
+    /// Removes a request that [`Handle::register`] added.
+    pub(crate) fn deregister(&self, number: u64) {
+        if let Some(pending) = lock(&self.pending).as_mut() {
+            pending.remove(&number);
         }
     }
 
     fn deliver(&self, number: u64, event: Event) {
-        if let Some(waiting) = lock(&self.waiting).as_ref()
-            && let Some(events) = waiting.get(&number)
+        if let Some(pending) = lock(&self.pending).as_ref()
+            && let Some(events) = pending.get(&number)
         {
-            // A request that has its answer listens no longer.
+            // An error means that the request has ended.
             let _ = events.send(event);
         }
     }
 
-    fn lose(&self) {
-        let waiting = lock(&self.waiting).take().unwrap_or_default();
-        for events in waiting.into_values() {
+    fn mark_lost(&self) {
+        let pending = lock(&self.pending).take().unwrap_or_default();
+        for events in pending.into_values() {
             let _ = events.send(Event::Lost);
         }
     }
 }
 
-fn lock(waiting: &Waiting) -> MutexGuard<'_, Option<HashMap<u64, mpsc::UnboundedSender<Event>>>> {
-    waiting.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(pending: &Pending) -> MutexGuard<'_, Option<HashMap<u64, mpsc::UnboundedSender<Event>>>> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Keeps a link to the sidecar `name` open until the router ends.
+/// Keeps a link to the sidecar `name` open until the router ends. Dials again after a loss.
 pub(crate) async fn maintain(
     context: Context,
     router: WeakAddress<Router>,
@@ -124,7 +126,7 @@
     name: String,
 ) {
     let mut epoch = 0;
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = INITIAL_BACKOFF;
     while router.is_connected() {
         epoch += 1;
         let opened = match directory::address(&context.directory, &name) {
@@ -132,33 +134,33 @@
                 hooktrestle_link::dial(&context.link, &context.identity, address, epoch).await
             }
             None => {
-                wait_for_news(&context, backoff).await;
+                wait_before_redial(&context, backoff).await;
                 continue;
             }
         };
         match opened {
             Ok(opened) if opened.peer.identity.instance == name => {
-                backoff = FIRST_BACKOFF;
+                backoff = INITIAL_BACKOFF;
                 serve(&context, &router, server, opened).await;
             }
             Ok(opened) => {
                 let found = opened.peer.identity.instance;
-                warn!("another instance answers", kv: { wanted: = name.as_str(), found: = found.as_str() });
+                warn!("link refused: another instance replied at the address", kv: { wanted: = name.as_str(), found: = found.as_str() });
             }
             Err(error) => {
                 warn!("cannot open a link", kv: { sidecar: = name.as_str(), error: = error.to_string().as_str() });
             }
         }
-        wait_for_news(&context, backoff).await;
-        backoff = (backoff * 2).min(LONGEST_BACKOFF);
+        wait_before_redial(&context, backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-/// Waits out the backoff, or until the instance list changes.
-async fn wait_for_news(context: &Context, backoff: Duration) {
+/// Waits for the backoff, or until the instance list changes.
+async fn wait_before_redial(context: &Context, backoff: Duration) {
     let mut directory = context.directory.clone();
     directory.mark_unchanged();
-    // Either way it is time to try again.
+    // The link is dialled again in both cases.
     let _ = tokio::time::timeout(jittered(backoff), directory.changed()).await;
 }
 
@@ -174,36 +176,36 @@
         sidecar: peer.identity.instance.as_str().into(),
         incarnation: peer.identity.incarnation,
         epoch: peer.link_epoch,
-        waiting: Arc::new(Mutex::new(Some(HashMap::new()))),
+        pending: Arc::new(Mutex::new(Some(HashMap::new()))),
     };
     info!("link open", kv: { sidecar: = peer.identity.instance.as_str() });
-    let beating = tokio::spawn(beat(context.clone(), sender));
+    let heartbeats = tokio::spawn(send_heartbeats(context.clone(), sender));
     let reason = tokio::select! {
         error = read(context, router, server, &handle, &mut receiver) => error.to_string(),
         () = router.join() => "the gateway has ended".to_owned(),
     };
-    beating.abort();
-    handle.lose();
+    heartbeats.abort();
+    handle.mark_lost();
     if let Some(router) = router.try_upgrade() {
-        // A router that has ended routes nothing over this link.
-        let _ = router.send(Down { server, epoch: handle.epoch }).await;
+        // An error means that the router has ended; it chooses no server any more.
+        let _ = router.send(LinkDown { server, epoch: handle.epoch }).await;
     }
     info!("link lost", kv: { sidecar: = peer.identity.instance.as_str(), reason: = reason.as_str() });
 }
 
-async fn beat(context: Context, sender: Sender) {
+async fn send_heartbeats(context: Context, sender: Sender) {
     loop {
-        let version = config_keeper::version(&context.config).unwrap_or(0);
-        let beat = Frame::Heartbeat(HeartbeatFrame { config_version: version });
-        if sender.send(&beat, &[]).await.is_err() {
+        let version = config_sync::version(&context.config).unwrap_or(0);
+        let heartbeat_frame = Frame::Heartbeat(HeartbeatFrame { config_version: version });
+        if sender.send(&heartbeat_frame, &[]).await.is_err() {
             return;
         }
-        tokio::time::sleep(context.heartbeat).await;
+        tokio::time::sleep(context.heartbeat_interval).await;
     }
 }
 
-/// Reads frames until the link ends; says why it did. The link is used from the first load on:
-/// only then has the sidecar accepted it.
+/// Reads frames until the link ends, and returns the reason. The router uses the link from the
+/// first load report on, since that report confirms that the sidecar has accepted the link.
 async fn read(
     context: &Context,
     router: &WeakAddress<Router>,
@@ -211,29 +213,30 @@
     handle: &Handle,
     receiver: &mut Receiver,
 ) -> hooktrestle_link::Error {
-    let mut up = false;
+    let mut reported = false;
     let sender = handle.sender.clone();
-    let mut spread = Spread::new(context.config.clone(), context.keeper.clone(), sender);
+    let mut exchange =
+        ConfigExchange::new(context.config.clone(), context.sync_task.clone(), sender);
     loop {
         let (frame, payload) = match receiver.next().await {
             Ok(message) => message,
             Err(error) => return error,
         };
         if let Frame::Load(load) = frame {
-            spread.heard(load.config_version).await;
-            // A router that has ended needs no news.
+            exchange.request_if_newer(load.config_version).await;
+            // An error means that the router has ended.
             if let Some(router) = router.try_upgrade() {
-                if !up {
-                    let _ = router.send(Up { server, handle: handle.clone() }).await;
-                    up = true;
+                if !reported {
+                    let _ = router.send(LinkUp { server, handle: handle.clone() }).await;
+                    reported = true;
                 }
                 let _ = router.send(Load { server, load }).await;
             }
             continue;
         }
         match &frame {
-            Frame::ConfigAsk(ask) => spread.asked(ask).await,
-            Frame::ConfigPart(part) => spread.part(part, &payload).await,
+            Frame::ConfigAsk(ask) => exchange.send_snapshot(ask).await,
+            Frame::ConfigPart(part) => exchange.add_part(part, &payload).await,
             _ => {}
         }
         if let Some(id) = id_of(&frame) {
