--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -16,10 +16,10 @@
 use eyre::eyre;
 use futures_util::StreamExt;
 use hdrhistogram::Histogram;
+use hooktrestle_soak::backends::Backends;
 use hooktrestle_soak::fleet::Fleet;
 use hooktrestle_soak::ledger::Bounds;
 use hooktrestle_soak::ledger::Ledger;
-use hooktrestle_soak::site::Site;
 use hooktrestle_users_standin::caller;
 use hooktrestle_users_standin::roomy_configuration;
 use hooktrestle_users_standin::server::Act;
@@ -98,13 +98,13 @@
 
 async fn measure_all(config: &Config) -> Result<(Vec<Series>, Streams)> {
     let ledger = Rc::new(Ledger::new(Bounds::default()));
-    let site = Site::start(0, ledger.clone()).await;
+    let backends = Backends::start(0, ledger.clone()).await;
     let server = Server::start("s1").await;
     server.usually(Act::Work);
     server.pause_between_events(EVENT_PAUSE);
-    site.store.put("op", "config", &roomy_configuration(2));
-    site.store.put("servers", &server.id, &server.roomy_entry());
-    let fleet = Fleet::start(1, &config.program, &config.folder, &site, ledger).await?;
+    backends.store.put("op", "config", &roomy_configuration(2));
+    backends.store.put("servers", &server.id, &server.roomy_entry());
+    let fleet = Fleet::start(1, &config.program, &config.folder, &backends, ledger).await?;
     let gateway = fleet.gateways[0].clone();
     let client = Client::new();
     let patience = Instant::now() + Bounds::default().recovery;
@@ -132,7 +132,7 @@
         });
     }
     let streams = stream(config, through, &process).await?;
-    fleet.end();
+    fleet.kill_all();
     Ok((all, streams))
 }
 
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -26,22 +26,22 @@
 use tokio::time;
 use tokio::time::Instant;
 
+use crate::backends::Backends;
+use crate::ledger::Guarantee;
 use crate::ledger::Ledger;
-use crate::ledger::Promise;
-use crate::ledger::REPEATS;
-use crate::ledger::RepeatBound;
-use crate::schedule::Kind;
-use crate::site::Site;
-use crate::ways;
+use crate::ledger::RETRY_BOUND;
+use crate::ledger::RetryBound;
+use crate::network;
+use crate::schedule::FaultKind;
 
 /// Longest planned stop, as the gateways are told.
 const STOP_WITHIN_S: u64 = 8;
 
 /// Time between two looks at whether a process has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time in which a process that has started or woken hears what there is.
-const WAKES: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// The gateway's program.
 const PROGRAM: &str = "hooktrestle-gateway";
@@ -50,8 +50,8 @@
 const FIRST_PORT: u16 = 4_000;
 
 /// Second byte of the addresses, above those that are used by hand, and what is kept of a process's id.
-const OWN_NETWORK: u8 = 0x40;
-const OWN_MASK: u8 = 0x3f;
+const ADDRESS_PREFIX: u8 = 0x40;
+const PROCESS_ID_MASK: u8 = 0x3f;
 
 /// Where a gateway listens.
 #[derive(Clone, Copy, Debug)]
@@ -73,24 +73,24 @@
     /// Where it listens.
     pub at: Addresses,
     store: Store,
-    way: Proxy,
+    store_proxy: Proxy,
     settings: PathBuf,
     child: RefCell<Option<Child>>,
     /// How many processes it has had.
-    pub lives: Cell<u32>,
+    pub incarnations: Cell<u32>,
     /// Since when it is off, if it is.
-    pub off_since: Cell<Option<Instant>>,
+    pub down_since: Cell<Option<Instant>>,
     /// When its process started or woke last.
-    woke_at: Cell<Instant>,
+    resumed_at: Cell<Instant>,
     /// How many troubles have it in hand: it is started again by the last that ends.
-    held: Cell<u32>,
+    active_faults: Cell<u32>,
 }
 
 impl Gateway {
     /// Whether its process runs and has had time to hear what there is.
-    pub fn is_awake(&self) -> bool {
-        let held = self.held.get() > 0 || self.off_since.get().is_some();
-        !held && self.woke_at.get().elapsed() > WAKES
+    pub fn is_settled(&self) -> bool {
+        let has_fault = self.active_faults.get() > 0 || self.down_since.get().is_some();
+        !has_fault && self.resumed_at.get().elapsed() > SETTLE_TIME
     }
 
     /// The id of its process, if one runs.
@@ -106,15 +106,15 @@
     }
 
     /// Whether its process has ended, and how.
-    fn ended(&self) -> Option<bool> {
+    fn exit_success(&self) -> Option<bool> {
         let mut child = self.child.borrow_mut();
         let status = child.as_mut()?.try_wait().ok()??;
         Some(status.success())
     }
 
-    fn note_off(&self) {
+    fn mark_down(&self) {
         self.child.replace(None);
-        self.off_since.set(Some(Instant::now()));
+        self.down_since.set(Some(Instant::now()));
     }
 }
 
@@ -131,9 +131,9 @@
 /// # Errors
 ///
 /// There is none.
-pub fn program(named: Option<PathBuf>) -> Result<PathBuf> {
-    let beside = std::env::current_exe()?.with_file_name(PROGRAM);
-    let program = named.unwrap_or(beside);
+pub fn program(given: Option<PathBuf>) -> Result<PathBuf> {
+    let default = std::env::current_exe()?.with_file_name(PROGRAM);
+    let program = given.unwrap_or(default);
     ensure!(
         program.exists(),
         "{} is missing: build it, or name it by --program",
@@ -152,7 +152,7 @@
         count: usize,
         program: &Path,
         folder: &Path,
-        site: &Site,
+        backends: &Backends,
         ledger: Rc<Ledger>,
     ) -> Result<Rc<Fleet>> {
         let addresses: Vec<Addresses> = (0..count).map(addresses).collect();
@@ -160,31 +160,31 @@
         let mut gateways = Vec::new();
         for (index, at) in addresses.into_iter().enumerate() {
             let name = format!("g{index}");
-            let store = site.door().await;
-            let way = Proxy::open(store.address).await;
+            let store = backends.add_store_endpoint().await;
+            let store_proxy = Proxy::open(store.address).await;
             let settings = folder.join(format!("{name}.ini"));
-            fs::write(&settings, settings_text(&name, &at, way.address, &seeds.join(",")))?;
+            fs::write(&settings, settings_text(&name, &at, store_proxy.address, &seeds.join(",")))?;
             gateways.push(Rc::new(Gateway {
                 name,
                 at,
                 store,
-                way,
+                store_proxy,
                 settings,
                 child: RefCell::new(None),
-                lives: Cell::new(0),
-                off_since: Cell::new(Some(Instant::now())),
-                woke_at: Cell::new(Instant::now()),
-                held: Cell::new(0),
+                incarnations: Cell::new(0),
+                down_since: Cell::new(Some(Instant::now())),
+                resumed_at: Cell::new(Instant::now()),
+                active_faults: Cell::new(0),
             }));
         }
         let fleet = Rc::new(Fleet { gateways, program: program.to_owned(), ledger });
         for gateway in &fleet.gateways {
-            fleet.begin(gateway)?;
+            fleet.start_process(gateway)?;
         }
         Ok(fleet)
     }
 
-    fn begin(&self, gateway: &Gateway) -> Result<()> {
+    fn start_process(&self, gateway: &Gateway) -> Result<()> {
         let log = gateway.settings.with_extension("log");
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(&self.program);
@@ -193,138 +193,145 @@
         let started = command.spawn();
         let child = started.wrap_err_with(|| format!("cannot start {}", self.program.display()))?;
         gateway.child.replace(Some(child));
-        gateway.lives.set(gateway.lives.get() + 1);
-        gateway.off_since.set(None);
-        gateway.woke_at.set(Instant::now());
+        gateway.incarnations.set(gateway.incarnations.get() + 1);
+        gateway.down_since.set(None);
+        gateway.resumed_at.set(Instant::now());
         Ok(())
     }
 
     /// A trouble of a gateway, until it is over.
-    pub async fn trouble(&self, kind: Kind, target: usize, lasts: Duration) {
+    pub async fn inject(&self, kind: FaultKind, target: usize, duration: Duration) {
         let gateway = self.gateways[target % self.gateways.len()].clone();
         match kind {
-            Kind::Kill => self.kill(&[gateway], lasts).await,
-            Kind::Off if self.others_awake(&gateway) > 1 => self.kill(&[gateway], lasts).await,
-            Kind::KillAll => self.kill(&self.gateways, lasts).await,
-            Kind::Pause => self.pause(&gateway, lasts).await,
-            Kind::Stop => self.stop(&gateway).await,
-            Kind::HangUp => gateway.signal(Signal::HUP),
-            Kind::StoreMute
-            | Kind::StoreReset
-            | Kind::StoreSlow
-            | Kind::StoreHoldsRequests
-            | Kind::StoreHoldsAnswers => ways::trouble(&gateway.way, kind, lasts).await,
-            Kind::StoreTurnsAway => {
+            FaultKind::Kill => self.kill(&[gateway], duration).await,
+            FaultKind::Off if self.settled_others(&gateway) > 1 => {
+                self.kill(&[gateway], duration).await
+            }
+            FaultKind::KillAll => self.kill(&self.gateways, duration).await,
+            FaultKind::Pause => self.pause(&gateway, duration).await,
+            FaultKind::Stop => self.stop(&gateway).await,
+            FaultKind::HangUp => gateway.signal(Signal::HUP),
+            FaultKind::StoreMute
+            | FaultKind::StoreReset
+            | FaultKind::StoreSlow
+            | FaultKind::StoreHoldsRequests
+            | FaultKind::StoreHoldsAnswers => {
+                network::inject(&gateway.store_proxy, kind, duration).await
+            }
+            FaultKind::StoreTurnsAway => {
                 gateway.store.set_mood(Mood::Busy);
-                time::sleep(lasts).await;
+                time::sleep(duration).await;
                 gateway.store.set_mood(Mood::Well);
             }
             _ => {}
         }
     }
 
-    async fn kill(&self, gateways: &[Rc<Gateway>], lasts: Duration) {
+    async fn kill(&self, gateways: &[Rc<Gateway>], duration: Duration) {
         for gateway in gateways {
-            gateway.held.set(gateway.held.get() + 1);
+            gateway.active_faults.set(gateway.active_faults.get() + 1);
             gateway.signal(Signal::KILL);
         }
         for gateway in gateways {
-            while gateway.child.borrow().is_some() && gateway.ended().is_none() {
-                time::sleep(LOOK_EVERY).await;
+            while gateway.child.borrow().is_some() && gateway.exit_success().is_none() {
+                time::sleep(POLL_INTERVAL).await;
             }
             if gateway.child.borrow().is_some() {
-                gateway.note_off();
+                gateway.mark_down();
             }
         }
-        time::sleep(lasts).await;
-        gateways.iter().for_each(|gateway| self.release(gateway));
+        time::sleep(duration).await;
+        gateways.iter().for_each(|gateway| self.end_fault(gateway));
     }
 
-    async fn pause(&self, gateway: &Gateway, lasts: Duration) {
-        gateway.held.set(gateway.held.get() + 1);
+    async fn pause(&self, gateway: &Gateway, duration: Duration) {
+        gateway.active_faults.set(gateway.active_faults.get() + 1);
         gateway.signal(Signal::STOP);
-        time::sleep(lasts).await;
+        time::sleep(duration).await;
         gateway.signal(Signal::CONT);
-        gateway.woke_at.set(Instant::now());
-        self.release(gateway);
+        gateway.resumed_at.set(Instant::now());
+        self.end_fault(gateway);
     }
 
-    fn others_awake(&self, gateway: &Gateway) -> usize {
+    fn settled_others(&self, gateway: &Gateway) -> usize {
         let others = self.gateways.iter().filter(|other| other.name != gateway.name);
-        others.filter(|other| other.is_awake()).count()
+        others.filter(|other| other.is_settled()).count()
     }
 
     async fn stop(&self, gateway: &Gateway) {
         // Planned work leaves callers somebody else to go to.
-        let has_others = self.others_awake(gateway) > 0;
-        if gateway.held.get() > 0 || gateway.child.borrow().is_none() || !has_others {
+        let has_others = self.settled_others(gateway) > 0;
+        if gateway.active_faults.get() > 0 || gateway.child.borrow().is_none() || !has_others {
             return;
         }
-        gateway.held.set(1);
+        gateway.active_faults.set(1);
         gateway.signal(Signal::TERM);
         // Time in which something else held it is not its own.
-        let (mut own, mut looked_at) = (Duration::ZERO, Instant::now());
+        let (mut own_time, mut polled_at) = (Duration::ZERO, Instant::now());
         loop {
-            time::sleep(LOOK_EVERY).await;
-            let alone = gateway.held.get() == 1;
-            own += if alone { looked_at.elapsed() } else { Duration::ZERO };
-            looked_at = Instant::now();
-            match gateway.ended() {
-                Some(well) => {
-                    if alone && !well {
-                        let what = format!("{} ended badly when told to stop", gateway.name);
-                        self.ledger.broken(Promise::Stop, what);
+            time::sleep(POLL_INTERVAL).await;
+            let only_fault = gateway.active_faults.get() == 1;
+            own_time += if only_fault { polled_at.elapsed() } else { Duration::ZERO };
+            polled_at = Instant::now();
+            match gateway.exit_success() {
+                Some(clean) => {
+                    if only_fault && !clean {
+                        let detail = format!("{} ended badly when told to stop", gateway.name);
+                        self.ledger.report(Guarantee::Stop, detail);
                     }
-                    gateway.note_off();
+                    gateway.mark_down();
                     break;
                 }
                 // Something else has ended it, or holds it.
                 None if gateway.child.borrow().is_none() => break,
-                None if alone && own > self.ledger.bounds.stop => {
-                    let what = format!("{} does not end", gateway.name);
-                    self.ledger.broken(Promise::Stop, what);
+                None if only_fault && own_time > self.ledger.bounds.stop => {
+                    let detail = format!("{} does not end", gateway.name);
+                    self.ledger.report(Guarantee::Stop, detail);
                     break;
                 }
                 None => {}
             }
         }
-        self.ledger.judge(Promise::Stop);
-        self.release(gateway);
+        self.ledger.record_check(Guarantee::Stop);
+        self.end_fault(gateway);
     }
 
     /// The end of a trouble: whoever is off and in nobody's hand starts again.
-    fn release(&self, gateway: &Gateway) {
-        gateway.held.set(gateway.held.get().saturating_sub(1));
-        if gateway.held.get() == 0
+    fn end_fault(&self, gateway: &Gateway) {
+        gateway.active_faults.set(gateway.active_faults.get().saturating_sub(1));
+        if gateway.active_faults.get() == 0
             && gateway.child.borrow().is_none()
-            && let Err(error) = self.begin(gateway)
+            && let Err(error) = self.start_process(gateway)
         {
-            self.ledger.broken(Promise::Recovery, error.to_string());
+            self.ledger.report(Guarantee::Recovery, error.to_string());
         }
     }
 
     /// Starts processes again that have ended by themselves, and says so.
-    pub fn look(&self) {
+    pub fn restart_exited(&self) {
         for gateway in &self.gateways {
-            if gateway.held.get() == 0 && gateway.ended().is_some() {
-                let what =
-                    format!("{} ended by itself, life {}", gateway.name, gateway.lives.get());
-                self.ledger.broken(Promise::Recovery, what);
-                gateway.note_off();
-                gateway.held.set(1);
-                self.release(gateway);
+            if gateway.active_faults.get() == 0 && gateway.exit_success().is_some() {
+                let detail = format!(
+                    "{} ended by itself, life {}",
+                    gateway.name,
+                    gateway.incarnations.get()
+                );
+                self.ledger.report(Guarantee::Recovery, detail);
+                gateway.mark_down();
+                gateway.active_faults.set(1);
+                self.end_fault(gateway);
             }
         }
     }
 
     /// Ends all processes.
-    pub fn end(&self) {
+    pub fn kill_all(&self) {
         self.gateways.iter().for_each(|gateway| drop(gateway.child.replace(None)));
     }
 }
 
 fn settings_text(name: &str, at: &Addresses, store: SocketAddr, seeds: &str) -> String {
-    let RepeatBound { ratio, slack, window } = REPEATS;
+    let RetryBound { ratio, slack, window } = RETRY_BOUND;
     let Addresses { callers, endpoints, readiness, peers } = at;
     format!(
         "[instance]\nname = {name}\ndata_centre = hall\nstop_within_s = {STOP_WITHIN_S}\n\
@@ -339,7 +346,7 @@
 /// process alone. Ports that were free a moment ago may be taken by a connection while a gateway is off.
 pub fn addresses(number: usize) -> Addresses {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
-    let ip = Ipv4Addr::new(127, OWN_NETWORK | (high & OWN_MASK), middle, low);
+    let ip = Ipv4Addr::new(127, ADDRESS_PREFIX | (high & PROCESS_ID_MASK), middle, low);
     let first = FIRST_PORT + 4 * number as u16;
     let at = |offset| SocketAddr::from((ip, first + offset));
     Addresses { callers: at(0), endpoints: at(1), readiness: at(2), peers: at(3) }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -13,9 +13,9 @@
 use hooktrestle_users_standin::server::Server;
 use tokio::time::Instant;
 
-use crate::limits::Count;
-use crate::limits::Limits;
-use crate::schedule::Kind;
+use crate::limits::AdvertisedLimits;
+use crate::limits::LimitCheck;
+use crate::schedule::FaultKind;
 use crate::schedule::PLANNED;
 
 /// Times within which what is promised comes about, while nothing else goes wrong.
@@ -28,17 +28,17 @@
     /// From a caller's leaving until its server knows.
     pub close: Duration,
     /// From a gateway's end until callers are not given it any more.
-    pub named: Duration,
+    pub listed: Duration,
     /// From the word to stop until the process has ended.
     pub stop: Duration,
     /// Until all gateways serve after the last trouble.
     pub recovery: Duration,
     /// From the third crash under a request until all gateways know.
-    pub contact: Duration,
+    pub propagation: Duration,
     /// From a crash until a request that was beginning there is held back no more.
     pub held_back: Duration,
     /// From a server's asking for rest to the last request that reaches it.
-    pub rest: Duration,
+    pub back_off: Duration,
     /// From a server's first naming of a limit until it holds.
     pub limit: Duration,
 }
@@ -53,12 +53,12 @@
             drain: Duration::from_secs(3),
             configuration: Duration::from_secs(3),
             close: Duration::from_secs(1),
-            named: Duration::from_secs(7),
+            listed: Duration::from_secs(7),
             stop: Duration::from_secs(9),
             recovery: Duration::from_secs(20),
-            contact: Duration::from_secs(3),
+            propagation: Duration::from_secs(3),
             held_back: Duration::from_secs(10),
-            rest: Duration::from_millis(500),
+            back_off: Duration::from_millis(500),
             limit: Duration::from_secs(3),
         }
     }
@@ -66,64 +66,65 @@
 
 impl Bounds {
     /// All of them `times` as long, for machines on which little is to be had.
-    pub fn stretched(times: u32) -> Bounds {
-        let Bounds { drain, configuration, close, named, stop, recovery, .. } = Bounds::default();
-        let Bounds { contact, held_back, rest, limit, .. } = Bounds::default();
+    pub fn scaled(factor: u32) -> Bounds {
+        let Bounds { drain, configuration, close, listed, stop, recovery, .. } = Bounds::default();
+        let Bounds { propagation, held_back, back_off, limit, .. } = Bounds::default();
         Bounds {
-            drain: drain * times,
-            configuration: configuration * times,
-            close: close * times,
-            named: named * times,
-            stop: stop * times,
-            recovery: recovery * times,
-            contact: contact * times,
-            held_back: held_back * times,
-            rest: rest * times,
+            drain: drain * factor,
+            configuration: configuration * factor,
+            close: close * factor,
+            listed: listed * factor,
+            stop: stop * factor,
+            recovery: recovery * factor,
+            propagation: propagation * factor,
+            held_back: held_back * factor,
+            back_off: back_off * factor,
             // Limits are named for some seconds: nothing would be due.
-            limit: limit * times.min(1),
+            limit: limit * factor.min(1),
         }
     }
 }
 
 /// What may go on while a request that crashes servers is judged: it does not touch gateways or what they hear.
-const MAY_GO_ON: [Kind; 4] =
-    [Kind::HangUp, Kind::ServerDrain, Kind::ServerCrash, Kind::CrashingRequest];
+const ALLOWED_FOR_CRASHES: [FaultKind; 4] =
+    [FaultKind::HangUp, FaultKind::ServerDrain, FaultKind::ServerCrash, FaultKind::CrashingRequest];
 
 /// What may go on while what a server asked is judged: it holds up no answer, and no gateway.
-const MAY_GO_ON_ASKED: [Kind; 18] = [
-    Kind::HangUp,
-    Kind::StoreBusy,
-    Kind::StoreSilent,
-    Kind::StoreLosesAnswers,
-    Kind::StoreTurnsAway,
-    Kind::StoreForgets,
-    Kind::StoreDrill,
-    Kind::ServerDrain,
-    Kind::ServerCrash,
-    Kind::ServerRefuses,
-    Kind::ServerFails,
-    Kind::ServerLosesAnswers,
-    Kind::ServerAnswersTwice,
-    Kind::ServerForges,
-    Kind::CrashingRequest,
-    Kind::ServerAsksRest,
-    Kind::ServerSaysItLeaves,
-    Kind::ServerNamesLimit,
+const ALLOWED_FOR_NOTICES: [FaultKind; 18] = [
+    FaultKind::HangUp,
+    FaultKind::StoreBusy,
+    FaultKind::StoreSilent,
+    FaultKind::StoreLosesAnswers,
+    FaultKind::StoreTurnsAway,
+    FaultKind::StoreForgets,
+    FaultKind::StoreDrill,
+    FaultKind::ServerDrain,
+    FaultKind::ServerCrash,
+    FaultKind::ServerRefuses,
+    FaultKind::ServerFails,
+    FaultKind::ServerLosesAnswers,
+    FaultKind::ServerAnswersTwice,
+    FaultKind::ServerForges,
+    FaultKind::CrashingRequest,
+    FaultKind::ServerAsksRest,
+    FaultKind::ServerSaysItLeaves,
+    FaultKind::ServerNamesLimit,
 ];
 
 /// The same while limits are judged: gateways that begin or end are no excuse for the others.
-const MAY_GO_ON_LIMITED: [Kind; 4] = [Kind::Kill, Kind::Off, Kind::KillAll, Kind::Stop];
+const ALLOWED_FOR_LIMITS: [FaultKind; 4] =
+    [FaultKind::Kill, FaultKind::Off, FaultKind::KillAll, FaultKind::Stop];
 
 /// Time after a trouble in which time-bounded promises are not judged: what it broke is found out by
 /// time-outs of up to three seconds.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// Troubles in which servers crash.
-const CRASHES: [Kind; 2] = [Kind::ServerCrash, Kind::CrashingRequest];
+const CRASH_FAULTS: [FaultKind; 2] = [FaultKind::ServerCrash, FaultKind::CrashingRequest];
 
 /// What is promised.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Promise {
+pub enum Guarantee {
     /// A request that must not be repeated runs at most once.
     AtMostOnce,
     /// A refusal is true: the request did not run and never will.
@@ -160,18 +161,18 @@
 
 /// A promise that was not kept.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     /// Which one.
-    pub promise: Promise,
+    pub guarantee: Guarantee,
     /// From the start of traffic.
     pub at: Duration,
     /// What was seen.
-    pub what: String,
+    pub detail: String,
 }
 
-impl Display for Broken {
+impl Display for Violation {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{:.3} s {:?}: {}", self.at.as_secs_f64(), self.promise, self.what)
+        write!(formatter, "{:.3} s {:?}: {}", self.at.as_secs_f64(), self.guarantee, self.detail)
     }
 }
 
@@ -179,7 +180,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// The caller waits.
-    Waits,
+    Pending,
     /// A whole success.
     Answered,
     /// It did not run and never will.
@@ -203,7 +204,7 @@
 
 /// A bound on repeats.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatBound {
+pub struct RetryBound {
     /// Part of the requests.
     pub ratio: f64,
     /// Beyond that part, so many.
@@ -213,32 +214,32 @@
 }
 
 /// The bound that gateways are given.
-pub const REPEATS: RepeatBound =
-    RepeatBound { ratio: 0.2, slack: 20, window: Duration::from_secs(10) };
+pub const RETRY_BOUND: RetryBound =
+    RetryBound { ratio: 0.2, slack: 20, window: Duration::from_secs(10) };
 
 /// A server that was there.
-struct Watched {
+struct WatchedServer {
     server: Server,
     /// How much of what reached it was looked at.
-    seen: usize,
+    checked: usize,
     /// Since when it leaves, if it does.
-    leaving: Option<Instant>,
+    leaving_since: Option<Instant>,
 }
 
 /// One life of a gateway, by its number.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Through {
+pub struct GatewayIncarnation {
     /// The gateway.
-    pub gateway: usize,
+    pub index: usize,
     /// How often it had begun.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// What a server asked of a gateway.
 #[derive(Clone, Debug)]
-struct AskedOf {
+struct Notice {
     server: String,
-    through: Through,
+    gateway: GatewayIncarnation,
     at: Instant,
     /// When its rest ends; `None` if it leaves.
     until: Option<Instant>,
@@ -246,17 +247,17 @@
 
 /// What became of a request that crashes servers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Crashing {
-    crashed: u32,
+struct CrashState {
+    crashes: u32,
     /// When a server crashed under it for the third time.
-    told_at: Option<Instant>,
+    threshold_at: Option<Instant>,
     /// How often it reached servers when all gateways had had time to know.
-    late: u32,
+    late_arrivals: u32,
 }
 
 /// Crashes that tell, and times that it may reach servers later; the users' rule.
-const TELLING: u32 = 3;
-const MOST_LATE: u32 = 3;
+const CRASH_THRESHOLD: u32 = 3;
+const MAX_LATE_ARRIVALS: u32 = 3;
 
 /// Everything that was seen.
 pub struct Ledger {
@@ -265,20 +266,20 @@
     pub bounds: Bounds,
     requests: RefCell<HashMap<String, Request>>,
     runs: RefCell<HashMap<String, u32>>,
-    servers: RefCell<Vec<Watched>>,
-    troubles: RefCell<Vec<(Kind, Instant, Instant)>>,
-    broken: RefCell<Vec<Broken>>,
+    servers: RefCell<Vec<WatchedServer>>,
+    faults: RefCell<Vec<(FaultKind, Instant, Instant)>>,
+    violations: RefCell<Vec<Violation>>,
     /// Of the promises that depend on time, how often each was due.
-    judged: RefCell<BTreeMap<Promise, u32>>,
-    noticed: RefCell<HashSet<String>>,
+    check_counts: RefCell<BTreeMap<Guarantee, u32>>,
+    reported_disconnects: RefCell<HashSet<String>>,
     /// Bodies under which servers crash, with what reached servers.
-    crashing: RefCell<HashMap<String, Crashing>>,
+    crashing: RefCell<HashMap<String, CrashState>>,
     /// The gateway that each request was sent to.
-    through: RefCell<HashMap<String, Through>>,
-    asked: RefCell<Vec<AskedOf>>,
-    limits: RefCell<Limits>,
+    gateways: RefCell<HashMap<String, GatewayIncarnation>>,
+    notices: RefCell<Vec<Notice>>,
+    limits: RefCell<AdvertisedLimits>,
     /// Requests that reached servers again after their first time.
-    pub repeats: Cell<u32>,
+    pub retries: Cell<u32>,
 }
 
 impl Ledger {
@@ -290,213 +291,214 @@
             requests: RefCell::default(),
             runs: RefCell::default(),
             servers: RefCell::default(),
-            troubles: RefCell::default(),
-            broken: RefCell::default(),
-            judged: RefCell::default(),
-            noticed: RefCell::default(),
+            faults: RefCell::default(),
+            violations: RefCell::default(),
+            check_counts: RefCell::default(),
+            reported_disconnects: RefCell::default(),
             crashing: RefCell::default(),
-            through: RefCell::default(),
-            asked: RefCell::default(),
+            gateways: RefCell::default(),
+            notices: RefCell::default(),
             limits: RefCell::default(),
-            repeats: Cell::new(0),
+            retries: Cell::new(0),
         }
     }
 
     /// A promise was not kept.
-    pub fn broken(&self, promise: Promise, what: String) {
+    pub fn report(&self, guarantee: Guarantee, detail: String) {
         let at = self.start.elapsed();
-        self.broken.borrow_mut().push(Broken { promise, at, what });
+        self.violations.borrow_mut().push(Violation { guarantee, at, detail });
     }
 
     /// All that was not kept.
-    pub fn findings(&self) -> Vec<Broken> {
-        self.broken.borrow().clone()
+    pub fn violations(&self) -> Vec<Violation> {
+        self.violations.borrow().clone()
     }
 
     /// A promise that depends on time was due.
-    pub fn judge(&self, promise: Promise) {
-        *self.judged.borrow_mut().entry(promise).or_default() += 1;
+    pub fn record_check(&self, guarantee: Guarantee) {
+        *self.check_counts.borrow_mut().entry(guarantee).or_default() += 1;
     }
 
     /// How often each promise that depends on time was due.
-    pub fn judged(&self) -> BTreeMap<Promise, u32> {
-        self.judged.borrow().clone()
+    pub fn check_counts(&self) -> BTreeMap<Guarantee, u32> {
+        self.check_counts.borrow().clone()
     }
 
     /// How many requests were sent, and how many were answered.
-    pub fn served(&self) -> (usize, usize) {
+    pub fn request_counts(&self) -> (usize, usize) {
         let requests = self.requests.borrow();
         let answered = requests.values().filter(|one| one.verdict == Verdict::Answered).count();
         (requests.len(), answered)
     }
 
     /// A trouble goes on until a moment.
-    pub fn trouble(&self, kind: Kind, from: Instant, until: Instant) {
-        self.troubles.borrow_mut().push((kind, from, until));
+    pub fn record_fault(&self, kind: FaultKind, from: Instant, until: Instant) {
+        self.faults.borrow_mut().push((kind, from, until));
     }
 
     /// Whether nothing but planned work went on from a moment to now, and had for a while before.
-    pub fn is_calm_since(&self, from: Instant) -> bool {
-        self.is_calm_but_for(&PLANNED, from)
+    pub fn no_faults_since(&self, from: Instant) -> bool {
+        self.no_faults_but(&PLANNED, from)
     }
 
     /// The same for what the store took at a moment: that it loses what all have heard is no excuse, nor is a drill that
     /// was over before, once all have got over it.
-    pub fn is_calm_but_for_drills_since(&self, from: Instant) -> bool {
-        let (now, heard) = (Instant::now(), from + self.bounds.configuration);
-        let troubles = self.troubles.borrow();
-        let excuses = |(kind, begun, until): &(Kind, Instant, Instant)| match kind {
-            Kind::StoreDrill if *until < from => *until + SETTLE >= now,
-            Kind::StoreDrill => *begun < heard,
-            kind => !PLANNED.contains(kind) && *until + SETTLE >= from,
+    pub fn no_faults_but_drills_since(&self, from: Instant) -> bool {
+        let (now, applied_by) = (Instant::now(), from + self.bounds.configuration);
+        let faults = self.faults.borrow();
+        let excludes = |(kind, started, until): &(FaultKind, Instant, Instant)| match kind {
+            FaultKind::StoreDrill if *until < from => *until + SETTLE_TIME >= now,
+            FaultKind::StoreDrill => *started < applied_by,
+            kind => !PLANNED.contains(kind) && *until + SETTLE_TIME >= from,
         };
-        !troubles.iter().any(excuses)
+        !faults.iter().any(excludes)
     }
 
-    fn is_calm_but_for(&self, kinds: &[Kind], from: Instant) -> bool {
-        let troubles = self.troubles.borrow();
-        let mut others = troubles.iter().filter(|(kind, ..)| !kinds.contains(kind));
-        others.all(|(_, _, until)| *until + SETTLE < from)
+    fn no_faults_but(&self, kinds: &[FaultKind], from: Instant) -> bool {
+        let faults = self.faults.borrow();
+        let mut others = faults.iter().filter(|(kind, ..)| !kinds.contains(kind));
+        others.all(|(_, _, until)| *until + SETTLE_TIME < from)
     }
 
     /// Whether a server crashed in the time for which requests may be held back for that.
-    pub fn has_crashed_lately(&self) -> bool {
+    pub fn has_recent_crash(&self) -> bool {
         let now = Instant::now();
-        let troubles = self.troubles.borrow();
-        let mut crashes = troubles.iter().filter(|(kind, ..)| CRASHES.contains(kind));
-        crashes.any(|(_, _, until)| *until + self.bounds.held_back > now)
+        let faults = self.faults.borrow();
+        let mut crash_faults = faults.iter().filter(|(kind, ..)| CRASH_FAULTS.contains(kind));
+        crash_faults.any(|(_, _, until)| *until + self.bounds.held_back > now)
     }
 
     /// Servers crash under requests with this body.
-    pub fn crashes_under(&self, body: &str) {
-        self.crashing.borrow_mut().insert(body.to_owned(), Crashing::default());
+    pub fn add_crashing_body(&self, body: &str) {
+        self.crashing.borrow_mut().insert(body.to_owned(), CrashState::default());
     }
 
-    fn judge_crashing(&self, server: &Server, arrived: &Arrived) {
-        let calm = self.is_calm_but_for(&MAY_GO_ON, arrived.at - self.bounds.contact);
+    fn check_crashing(&self, server: &Server, arrived: &Arrived) {
+        let quiet = self.no_faults_but(&ALLOWED_FOR_CRASHES, arrived.at - self.bounds.propagation);
         let mut crashing = self.crashing.borrow_mut();
-        let Some(seen) = crashing.get_mut(&arrived.body) else { return };
-        seen.crashed += u32::from(arrived.ran);
-        if seen.crashed >= TELLING && seen.told_at.is_none() {
-            seen.told_at = Some(arrived.at);
+        let Some(state) = crashing.get_mut(&arrived.body) else { return };
+        state.crashes += u32::from(arrived.ran);
+        if state.crashes >= CRASH_THRESHOLD && state.threshold_at.is_none() {
+            state.threshold_at = Some(arrived.at);
             drop(crashing);
-            self.judge(Promise::Crashing);
+            self.record_check(Guarantee::Crashing);
             return;
         }
-        let known = seen.told_at.is_some_and(|at| arrived.at > at + self.bounds.contact);
-        seen.late += u32::from(known && calm);
-        if known && calm && seen.late > MOST_LATE {
-            let what =
-                format!("{} was sent {}, {} ended in all", server.id, arrived.body, seen.crashed);
+        let known = state.threshold_at.is_some_and(|at| arrived.at > at + self.bounds.propagation);
+        state.late_arrivals += u32::from(known && quiet);
+        if known && quiet && state.late_arrivals > MAX_LATE_ARRIVALS {
+            let detail =
+                format!("{} was sent {}, {} ended in all", server.id, arrived.body, state.crashes);
             drop(crashing);
-            self.broken(Promise::Crashing, what);
+            self.report(Guarantee::Crashing, detail);
         }
     }
 
     /// A server has come.
-    pub fn serve(&self, server: &Server) {
-        let watched = Watched { server: server.clone(), seen: 0, leaving: None };
+    pub fn watch_server(&self, server: &Server) {
+        let watched = WatchedServer { server: server.clone(), checked: 0, leaving_since: None };
         self.servers.borrow_mut().push(watched);
     }
 
     /// A server has said that it leaves, and the store has taken that.
-    pub fn leaves(&self, id: &str) {
+    pub fn mark_leaving(&self, id: &str) {
         let mut servers = self.servers.borrow_mut();
         if let Some(watched) = servers.iter_mut().find(|watched| watched.server.id == id) {
-            watched.leaving = Some(Instant::now());
+            watched.leaving_since = Some(Instant::now());
         }
     }
 
     /// A caller sends a request.
-    pub fn send(&self, id: &str, repeatable: bool) {
-        let request = Request { repeatable, sent_at: Instant::now(), verdict: Verdict::Waits };
+    pub fn record_request(&self, id: &str, repeatable: bool) {
+        let request = Request { repeatable, sent_at: Instant::now(), verdict: Verdict::Pending };
         self.requests.borrow_mut().insert(id.to_owned(), request);
     }
 
     /// It is sent to this gateway.
-    pub fn goes_through(&self, id: &str, through: Through) {
-        self.through.borrow_mut().insert(id.to_owned(), through);
+    pub fn record_gateway(&self, id: &str, gateway: GatewayIncarnation) {
+        self.gateways.borrow_mut().insert(id.to_owned(), gateway);
     }
 
     /// Judges whether a server had asked the gateway not to send a request, then keeps what it asks now.
-    fn judge_asked(&self, server: &Server, arrived: &Arrived, request: Request) {
-        let Some(through) = self.through.borrow().get(arrived.id()).copied() else { return };
+    fn check_notices(&self, server: &Server, arrived: &Arrived, request: Request) {
+        let Some(gateway) = self.gateways.borrow().get(arrived.id()).copied() else { return };
         let id = arrived.id();
-        let of_both = |one: &&AskedOf| one.server == server.id && one.through == through;
-        let asked: Vec<AskedOf> = self.asked.borrow().iter().filter(of_both).cloned().collect();
-        for AskedOf { at, until, .. } in asked {
-            let broken = match until {
-                Some(until) if arrived.at > at + self.bounds.rest && arrived.at < until => {
-                    Promise::Rest
+        let is_same_pair = |one: &&Notice| one.server == server.id && one.gateway == gateway;
+        let received: Vec<Notice> =
+            self.notices.borrow().iter().filter(is_same_pair).cloned().collect();
+        for Notice { at, until, .. } in received {
+            let violated = match until {
+                Some(until) if arrived.at > at + self.bounds.back_off && arrived.at < until => {
+                    Guarantee::Rest
                 }
-                None if request.sent_at > at + self.bounds.drain => Promise::Parting,
+                None if request.sent_at > at + self.bounds.drain => Guarantee::Parting,
                 _ => continue,
             };
-            if self.is_calm_but_for(&MAY_GO_ON_ASKED, at) {
+            if self.no_faults_but(&ALLOWED_FOR_NOTICES, at) {
                 let after = arrived.at.duration_since(at);
-                let what = format!("{} was sent {id} {after:?} after it had asked", server.id);
-                self.broken(broken, what);
+                let detail = format!("{} was sent {id} {after:?} after it had asked", server.id);
+                self.report(violated, detail);
             }
         }
         // Read apart from the product; what is no time is no rest.
-        let rest_s = arrived.asked_rest.as_deref().and_then(|text| text.parse::<f64>().ok());
-        let asks = |promise, until| {
-            if self.is_calm_but_for(&MAY_GO_ON_ASKED, arrived.at) {
-                self.judge(promise);
+        let back_off_s = arrived.asked_rest.as_deref().and_then(|text| text.parse::<f64>().ok());
+        let record = |guarantee, until| {
+            if self.no_faults_but(&ALLOWED_FOR_NOTICES, arrived.at) {
+                self.record_check(guarantee);
             }
             let (server, at) = (server.id.clone(), arrived.at);
-            self.asked.borrow_mut().push(AskedOf { server, through, at, until });
+            self.notices.borrow_mut().push(Notice { server, gateway, at, until });
         };
-        if let Some(rest_s) = rest_s.filter(|rest_s| *rest_s > 0.0) {
-            asks(Promise::Rest, Some(arrived.at + Duration::from_secs_f64(rest_s)));
+        if let Some(back_off_s) = back_off_s.filter(|back_off_s| *back_off_s > 0.0) {
+            record(Guarantee::Rest, Some(arrived.at + Duration::from_secs_f64(back_off_s)));
         }
         if arrived.told_leaving {
-            asks(Promise::Parting, None);
+            record(Guarantee::Parting, None);
         }
     }
 
     /// Judges whether a server got more than it takes.
-    fn judge_limit(&self, server: &Server, arrived: &Arrived) {
-        let Some(through) = self.through.borrow().get(arrived.id()).copied() else { return };
-        let Bounds { limit, rest, .. } = self.bounds;
-        let count = self.limits.borrow_mut().count(&server.id, arrived, through, limit, rest);
-        let may_go_on = [&MAY_GO_ON_ASKED[..], &MAY_GO_ON_LIMITED].concat();
-        match count {
-            Count::Not => {}
-            Count::Within => self.judge(Promise::Limit),
-            Count::TooMany(began, what) if self.is_calm_but_for(&may_go_on, began) => {
-                self.broken(Promise::Limit, what);
+    fn check_limit(&self, server: &Server, arrived: &Arrived) {
+        let Some(gateway) = self.gateways.borrow().get(arrived.id()).copied() else { return };
+        let Bounds { limit, back_off, .. } = self.bounds;
+        let check = self.limits.borrow_mut().check(&server.id, arrived, gateway, limit, back_off);
+        let allowed = [&ALLOWED_FOR_NOTICES[..], &ALLOWED_FOR_LIMITS].concat();
+        match check {
+            LimitCheck::NotCounted => {}
+            LimitCheck::Within => self.record_check(Guarantee::Limit),
+            LimitCheck::Exceeded(began, detail) if self.no_faults_but(&allowed, began) => {
+                self.report(Guarantee::Limit, detail);
             }
-            Count::TooMany(..) => {}
+            LimitCheck::Exceeded(..) => {}
         }
     }
 
     /// What became of it.
-    pub fn end(&self, id: &str, verdict: Verdict) {
+    pub fn record_verdict(&self, id: &str, verdict: Verdict) {
         if let Some(request) = self.requests.borrow_mut().get_mut(id) {
             request.verdict = verdict;
         }
         let ran = self.runs.borrow().get(id).copied().unwrap_or_default();
         if verdict == Verdict::NotRun && ran > 0 {
-            self.broken(Promise::NotRun, format!("{id} was refused as not run, and ran"));
+            self.report(Guarantee::NotRun, format!("{id} was refused as not run, and ran"));
         }
     }
 
     /// Looks at what has reached servers since the last look.
-    pub fn look(&self) {
+    pub fn poll(&self) {
         let mut servers = self.servers.borrow_mut();
-        for Watched { server, seen, leaving } in servers.iter_mut() {
-            for arrived in server.arrived_since(*seen) {
-                *seen += 1;
-                self.judge_arrival(server, &arrived, *leaving);
+        for WatchedServer { server, checked, leaving_since } in servers.iter_mut() {
+            for arrived in server.arrived_since(*checked) {
+                *checked += 1;
+                self.check_arrival(server, &arrived, *leaving_since);
             }
             for arrived in server.unended() {
-                self.judge_close(server, &arrived);
+                self.check_close(server, &arrived);
             }
         }
     }
 
-    fn judge_arrival(&self, server: &Server, arrived: &Arrived, leaving: Option<Instant>) {
+    fn check_arrival(&self, server: &Server, arrived: &Arrived, leaving_since: Option<Instant>) {
         let id = arrived.id();
         // A look at its health, or at its engine.
         if id.is_empty() {
@@ -504,27 +506,27 @@
         }
         let request = self.requests.borrow().get(id).copied();
         let Some(request) = request else {
-            self.broken(Promise::Asked, format!("{} was sent {id}, which nobody asked", server.id));
+            self.report(Guarantee::Asked, format!("{} got unknown request {id}", server.id));
             return;
         };
-        if let Some(since) = leaving.filter(|since| arrived.at > *since + self.bounds.drain)
-            && self.is_calm_since(since)
+        if let Some(since) = leaving_since.filter(|since| arrived.at > *since + self.bounds.drain)
+            && self.no_faults_since(since)
         {
             let late = arrived.at.duration_since(since);
-            self.broken(Promise::Drain, format!("{} was sent {id} {late:?} after", server.id));
+            self.report(Guarantee::Drain, format!("{} was sent {id} {late:?} after", server.id));
         }
         if let Verdict::Left(at) = request.verdict
             && arrived.at > at + self.bounds.close
-            && self.is_calm_since(at)
+            && self.no_faults_since(at)
         {
-            self.broken(
-                Promise::Close,
+            self.report(
+                Guarantee::Close,
                 format!("{id} reached {} after its caller left", server.id),
             );
         }
-        self.judge_crashing(server, arrived);
-        self.judge_asked(server, arrived, request);
-        self.judge_limit(server, arrived);
+        self.check_crashing(server, arrived);
+        self.check_notices(server, arrived, request);
+        self.check_limit(server, arrived);
         if !arrived.ran {
             return;
         }
@@ -534,28 +536,28 @@
             *runs += 1;
             *runs
         };
-        self.repeats.set(self.repeats.get() + u32::from(runs > 1));
+        self.retries.set(self.retries.get() + u32::from(runs > 1));
         if runs > 1 && !request.repeatable {
-            self.broken(Promise::AtMostOnce, format!("{id} ran {runs} times"));
+            self.report(Guarantee::AtMostOnce, format!("{id} ran {runs} times"));
         }
         if request.verdict == Verdict::NotRun {
-            self.broken(Promise::NotRun, format!("{id} was refused as not run, and ran later"));
+            self.report(Guarantee::NotRun, format!("{id} was refused as not run, and ran later"));
         }
     }
 
-    fn judge_close(&self, server: &Server, arrived: &Arrived) {
+    fn check_close(&self, server: &Server, arrived: &Arrived) {
         let request = self.requests.borrow().get(arrived.id()).copied();
         let Some(Verdict::Left(at)) = request.map(|request| request.verdict) else { return };
-        let is_due = at.elapsed() > self.bounds.close && self.is_calm_since(at);
-        if is_due && self.noticed.borrow_mut().insert(arrived.id().to_owned()) {
-            let what = format!("{} still runs {}, whose caller left", server.id, arrived.id());
-            self.broken(Promise::Close, what);
+        let is_due = at.elapsed() > self.bounds.close && self.no_faults_since(at);
+        if is_due && self.reported_disconnects.borrow_mut().insert(arrived.id().to_owned()) {
+            let detail = format!("{} still runs {}, whose caller left", server.id, arrived.id());
+            self.report(Guarantee::Close, detail);
         }
     }
 
     /// Looks at repeats in every window, once all is over.
-    pub fn judge_repeats(&self) {
-        let RepeatBound { ratio, slack, window } = REPEATS;
+    pub fn check_retries(&self) {
+        let RetryBound { ratio, slack, window } = RETRY_BOUND;
         let mut sent: Vec<Instant> =
             self.requests.borrow().values().map(|request| request.sent_at).collect();
         sent.sort();
@@ -568,20 +570,20 @@
             .map(|one| (one.at, one.id().to_owned()))
             .collect();
         arrived.sort();
-        let mut known = HashSet::new();
-        let repeated: Vec<Instant> =
-            arrived.into_iter().filter_map(|(at, id)| (!known.insert(id)).then_some(at)).collect();
+        let mut seen = HashSet::new();
+        let retried: Vec<Instant> =
+            arrived.into_iter().filter_map(|(at, id)| (!seen.insert(id)).then_some(at)).collect();
         let within = |times: &[Instant], from: Instant, to: Instant| {
             times.partition_point(|at| *at <= to) - times.partition_point(|at| *at <= from)
         };
-        for end in &repeated {
+        for end in &retried {
             let Some(from) = end.checked_sub(window) else { continue };
             let before = from.checked_sub(window).unwrap_or(from);
             let requests = within(&sent, from, *end).max(within(&sent, before, from));
-            let repeats = within(&repeated, from, *end);
-            if repeats as f64 > ratio * requests as f64 + f64::from(slack) {
-                let what = format!("{repeats} repeats of {requests} requests in a window");
-                self.broken(Promise::Repeats, what);
+            let retries = within(&retried, from, *end);
+            if retries as f64 > ratio * requests as f64 + f64::from(slack) {
+                let detail = format!("{retries} retries of {requests} requests in a window");
+                self.report(Guarantee::Repeats, detail);
                 return;
             }
         }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -19,12 +19,12 @@
 //! Troubles are the same for a seed on every run; how processes are scheduled is not, so that a seed
 //! that fails once may need several runs to fail again.
 
+pub mod backends;
 pub mod callers;
 pub mod fleet;
 pub mod ledger;
 pub mod limits;
+pub mod network;
 pub mod run;
 pub mod schedule;
 pub mod shrink;
-pub mod site;
-pub mod ways;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -12,13 +12,13 @@
 use hooktrestle_soak::run;
 use hooktrestle_soak::run::Config;
 use hooktrestle_soak::schedule;
-use hooktrestle_soak::schedule::KINDS;
-use hooktrestle_soak::schedule::Kind;
-use hooktrestle_soak::schedule::Trouble;
+use hooktrestle_soak::schedule::FAULT_KINDS;
+use hooktrestle_soak::schedule::Fault;
+use hooktrestle_soak::schedule::FaultKind;
 use hooktrestle_soak::shrink::shrink;
 
 /// Most runs that shrinking a seed may take.
-const SHRINK_TRIES: usize = 24;
+const MAX_SHRINK_RUNS: usize = 24;
 
 mod flags {
     #![allow(missing_docs)]
@@ -61,7 +61,7 @@
 fn main() -> Result<ExitCode> {
     let flags = flags::HooktrestleSoak::from_env_or_exit();
     if flags.list_faults {
-        KINDS.iter().for_each(|(name, _)| println!("{name}"));
+        FAULT_KINDS.iter().for_each(|(name, _)| println!("{name}"));
         return Ok(ExitCode::SUCCESS);
     }
     let kinds = kinds(flags.faults.as_deref())?;
@@ -69,37 +69,38 @@
     let first = flags.seed.unwrap_or(1);
     let mut failed = 0;
     for seed in first..first.saturating_add(flags.seeds.unwrap_or(1)) {
-        let troubles = schedule::draw(seed, config.length, &kinds);
-        let report = run::run(&config, seed, &troubles)?;
-        println!("seed {seed}: {} troubles, {report}", troubles.len());
+        let seed_faults = schedule::draw(seed, config.length, &kinds);
+        let report = run::run(&config, seed, &seed_faults)?;
+        println!("seed {seed}: {} faults, {report}", seed_faults.len());
         if flags.troubles {
-            print(&troubles);
+            print_faults(&seed_faults);
         }
-        if report.broken.is_empty() {
+        if report.violations.is_empty() {
             continue;
         }
         failed += 1;
         if flags.shrink {
-            let fails = |some: &[Trouble]| {
-                run::run(&config, seed, some).is_ok_and(|report| !report.broken.is_empty())
+            let fails = |subset: &[Fault]| {
+                run::run(&config, seed, subset).is_ok_and(|report| !report.violations.is_empty())
             };
             println!("  fails still with:");
-            print(&shrink(&troubles, SHRINK_TRIES, fails));
+            print_faults(&shrink(&seed_faults, MAX_SHRINK_RUNS, fails));
         }
     }
     Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn print(troubles: &[Trouble]) {
-    troubles.iter().for_each(|trouble| println!("  {trouble}"));
+fn print_faults(seed_faults: &[Fault]) {
+    seed_faults.iter().for_each(|fault| println!("  {fault}"));
 }
 
-fn kinds(names: Option<&str>) -> Result<Vec<Kind>> {
+fn kinds(names: Option<&str>) -> Result<Vec<FaultKind>> {
     match names {
-        Some(names) => {
-            names.split(',').map(|name| name.parse().map_err(|why: String| eyre!(why))).collect()
-        }
-        None => Ok(KINDS.iter().map(|(_, kind)| *kind).collect()),
+        Some(names) => names
+            .split(',')
+            .map(|name| name.parse().map_err(|error: String| eyre!(error)))
+            .collect(),
+        None => Ok(FAULT_KINDS.iter().map(|(_, kind)| *kind).collect()),
     }
 }
 
@@ -111,14 +112,14 @@
         gateways: flags.gateways.unwrap_or(3),
         servers: flags.servers.unwrap_or(4),
         callers: flags.callers.unwrap_or(12),
-        bounds: Bounds::stretched(flags.stretch.unwrap_or(1)),
+        bounds: Bounds::scaled(flags.stretch.unwrap_or(1)),
     };
     ensure!(config.gateways > 0, "--gateways must be 1 or more");
     ensure!(config.servers > 0, "--servers must be 1 or more");
     ensure!(
-        config.length > schedule::CALM_END,
+        config.length > schedule::FAULT_FREE_END,
         "--length-s must be more than {:?}",
-        schedule::CALM_END
+        schedule::FAULT_FREE_END
     );
     Ok(config)
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -18,27 +18,27 @@
 use tokio::time;
 use tokio::time::Instant;
 
+use crate::backends::Backends;
 use crate::callers::Caller;
-use crate::callers::World;
-use crate::callers::crash_servers;
-use crate::callers::probe;
+use crate::callers::RunContext;
+use crate::callers::probe_configuration;
+use crate::callers::send_crashing_requests;
 use crate::fleet::Fleet;
 use crate::ledger::Bounds;
-use crate::ledger::Broken;
+use crate::ledger::Guarantee;
 use crate::ledger::Ledger;
-use crate::ledger::Promise;
-use crate::schedule::Kind;
-use crate::schedule::Trouble;
-use crate::site::Site;
+use crate::ledger::Violation;
+use crate::schedule::Fault;
+use crate::schedule::FaultKind;
 
 /// Time between two changes of the configuration.
-const CONFIGURE_EVERY: Duration = Duration::from_secs(5);
+const CONFIGURATION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time between two looks at what servers saw.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two looks at whether the run's own thread, on which callers, servers and the store are, is late.
-const TICK: Duration = Duration::from_millis(20);
+const LATENESS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a run is made of.
 #[derive(Clone, Debug)]
@@ -63,28 +63,28 @@
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Promises that were not kept.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// Requests, and how many of them were answered.
-    pub served: (usize, usize),
+    pub request_counts: (usize, usize),
     /// Requests that ran again.
-    pub repeats: u32,
+    pub retries: u32,
     /// How often each promise that depends on time was due.
-    pub judged: BTreeMap<Promise, u32>,
+    pub check_counts: BTreeMap<Guarantee, u32>,
     /// When the run's own thread was latest, and by how much: it answers nobody meanwhile.
-    pub late: (Duration, Duration),
+    pub max_lateness: (Duration, Duration),
 }
 
 impl Display for Report {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let (sent, answered) = self.served;
-        write!(formatter, "{answered} of {sent} requests answered, {} ran again", self.repeats)?;
-        for (promise, times) in &self.judged {
-            write!(formatter, ", {promise:?} due {times}")?;
+        let (sent, answered) = self.request_counts;
+        write!(formatter, "{answered} of {sent} requests answered, {} ran again", self.retries)?;
+        for (guarantee, times) in &self.check_counts {
+            write!(formatter, ", {guarantee:?} due {times}")?;
         }
-        let (at, by) = self.late;
+        let (at, by) = self.max_lateness;
         write!(formatter, ", own thread late by {by:.1?} at {at:.1?}")?;
-        for broken in &self.broken {
-            write!(formatter, "\n  broken: {broken}")?;
+        for violation in &self.violations {
+            write!(formatter, "\n  violation: {violation}")?;
         }
         Ok(())
     }
@@ -95,59 +95,59 @@
 /// # Errors
 ///
 /// The folder cannot be written, or the program cannot be started.
-pub fn run(config: &Config, seed: u64, troubles: &[Trouble]) -> Result<Report> {
+pub fn run(config: &Config, seed: u64, faults: &[Fault]) -> Result<Report> {
     fs::create_dir_all(&config.folder)?;
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, play(config, seed, troubles))
+    LocalSet::new().block_on(&runtime, run_faults(config, seed, faults))
 }
 
-async fn play(config: &Config, seed: u64, troubles: &[Trouble]) -> Result<Report> {
+async fn run_faults(config: &Config, seed: u64, faults: &[Fault]) -> Result<Report> {
     let ledger = Rc::new(Ledger::new(config.bounds));
-    let site = Site::start(config.servers, ledger.clone()).await;
+    let backends = Backends::start(config.servers, ledger.clone()).await;
     let (program, folder) = (&config.program, &config.folder);
-    let fleet = Fleet::start(config.gateways, program, folder, &site, ledger.clone()).await?;
-    let world = Rc::new(World::new(fleet.clone(), site.clone(), ledger.clone()));
-    all_serve(&world).await;
+    let fleet = Fleet::start(config.gateways, program, folder, &backends, ledger.clone()).await?;
+    let context = Rc::new(RunContext::new(fleet.clone(), backends.clone(), ledger.clone()));
+    wait_until_ready(&context).await;
     for number in 0..config.callers {
-        let caller = Caller::new(world.clone(), seed.wrapping_mul(1_000) + number as u64);
+        let caller = Caller::new(context.clone(), seed.wrapping_mul(1_000) + number as u64);
         task::spawn_local(caller.run());
     }
     for gateway in &fleet.gateways {
-        task::spawn_local(probe(world.clone(), gateway.clone()));
+        task::spawn_local(probe_configuration(context.clone(), gateway.clone()));
     }
     let start = Instant::now();
     let late = Rc::new(Cell::new((Duration::ZERO, Duration::ZERO)));
-    task::spawn_local(note_late(start, late.clone()));
-    task::spawn_local(strike(world.clone(), start, troubles.to_vec()));
-    let mut next_version = start + CONFIGURE_EVERY;
+    task::spawn_local(track_lateness(start, late.clone()));
+    task::spawn_local(inject_faults(context.clone(), start, faults.to_vec()));
+    let mut next_configuration = start + CONFIGURATION_INTERVAL;
     while start.elapsed() < config.length {
-        time::sleep(LOOK_EVERY).await;
-        if next_version <= Instant::now() && site.configure() {
-            next_version += CONFIGURE_EVERY;
+        time::sleep(POLL_INTERVAL).await;
+        if next_configuration <= Instant::now() && backends.configure() {
+            next_configuration += CONFIGURATION_INTERVAL;
         }
-        ledger.look();
-        fleet.look();
-        site.look();
+        ledger.poll();
+        fleet.restart_exited();
+        backends.poll();
     }
-    all_serve(&world).await;
-    world.open.set(false);
-    ledger.look();
-    ledger.judge_repeats();
-    fleet.end();
-    let repeats = ledger.repeats.get();
+    wait_until_ready(&context).await;
+    context.running.set(false);
+    ledger.poll();
+    ledger.check_retries();
+    fleet.kill_all();
+    let retries = ledger.retries.get();
     Ok(Report {
-        broken: ledger.findings(),
-        served: ledger.served(),
-        repeats,
-        judged: ledger.judged(),
-        late: late.get(),
+        violations: ledger.violations(),
+        request_counts: ledger.request_counts(),
+        retries,
+        check_counts: ledger.check_counts(),
+        max_lateness: late.get(),
     })
 }
 
 /// Keeps when the run's own thread was latest.
-async fn note_late(start: Instant, latest: Rc<Cell<(Duration, Duration)>>) {
+async fn track_lateness(start: Instant, latest: Rc<Cell<(Duration, Duration)>>) {
     loop {
-        let due = Instant::now() + TICK;
+        let due = Instant::now() + LATENESS_INTERVAL;
         time::sleep_until(due).await;
         let late = due.elapsed();
         if late > latest.get().1 {
@@ -157,53 +157,53 @@
 }
 
 /// Begins each trouble at its time; they overlap.
-async fn strike(world: Rc<World>, start: Instant, troubles: Vec<Trouble>) {
-    for trouble in troubles {
-        time::sleep_until(start + trouble.at).await;
+async fn inject_faults(context: Rc<RunContext>, start: Instant, faults: Vec<Fault>) {
+    for fault in faults {
+        time::sleep_until(start + fault.at).await;
         let now = Instant::now();
-        world.ledger.trouble(trouble.kind, now, now + settles(&trouble));
-        let (fleet, site) = (world.fleet.clone(), world.site.clone());
-        if trouble.kind == Kind::CrashingRequest {
-            task::spawn_local(crash_servers(world.clone(), trouble));
+        context.ledger.record_fault(fault.kind, now, now + effect_duration(&fault));
+        let (fleet, backends) = (context.fleet.clone(), context.backends.clone());
+        if fault.kind == FaultKind::CrashingRequest {
+            task::spawn_local(send_crashing_requests(context.clone(), fault));
             continue;
         }
         task::spawn_local(async move {
-            let Trouble { kind, target, lasts, .. } = trouble;
-            fleet.trouble(kind, target, lasts).await;
-            site.trouble(kind, target, lasts).await;
+            let Fault { kind, target, duration, .. } = fault;
+            fleet.inject(kind, target, duration).await;
+            backends.inject(kind, target, duration).await;
         });
     }
 }
 
 /// How long a trouble goes on.
-fn settles(trouble: &Trouble) -> Duration {
-    match trouble.kind {
+fn effect_duration(fault: &Fault) -> Duration {
+    match fault.kind {
         // Until the row has gone and another server has come.
-        Kind::ServerCrash => trouble.lasts + Duration::from_secs(2),
+        FaultKind::ServerCrash => fault.duration + Duration::from_secs(2),
         // Until the servers that crashed last have been replaced.
-        Kind::CrashingRequest => trouble.lasts + Duration::from_secs(4),
+        FaultKind::CrashingRequest => fault.duration + Duration::from_secs(4),
         // The others get over it.
-        Kind::Off => Duration::ZERO,
+        FaultKind::Off => Duration::ZERO,
         // As long as a stop may take.
-        Kind::Stop => Duration::from_secs(9),
-        _ => trouble.lasts,
+        FaultKind::Stop => Duration::from_secs(9),
+        _ => fault.duration,
     }
 }
 
 /// Waits until every gateway serves.
-async fn all_serve(world: &World) {
+async fn wait_until_ready(context: &RunContext) {
     let client = Client::new();
-    let end = Instant::now() + world.ledger.bounds.recovery;
-    for gateway in &world.fleet.gateways {
+    let end = Instant::now() + context.ledger.bounds.recovery;
+    for gateway in &context.fleet.gateways {
         while !caller::is_ready(&client, gateway.at.readiness).await {
-            world.fleet.look();
+            context.fleet.restart_exited();
             if Instant::now() > end {
-                let what = format!("{} is not ready", gateway.name);
-                world.ledger.broken(Promise::Recovery, what);
+                let detail = format!("{} is not ready", gateway.name);
+                context.ledger.report(Guarantee::Recovery, detail);
                 return;
             }
-            time::sleep(LOOK_EVERY).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
-    world.ledger.judge(Promise::Recovery);
+    context.ledger.record_check(Guarantee::Recovery);
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -11,7 +11,7 @@
 
 /// What goes wrong, or is planned.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Kind {
+pub enum FaultKind {
     /// A gateway is killed, and started again when it is over.
     Kill,
     /// A gateway is killed, and off for longer than others remember it.
@@ -81,56 +81,56 @@
 }
 
 /// All kinds, with the names by which they are chosen.
-pub const KINDS: [(&str, Kind); 33] = [
-    ("kill", Kind::Kill),
-    ("off", Kind::Off),
-    ("kill-all", Kind::KillAll),
-    ("pause", Kind::Pause),
-    ("stop", Kind::Stop),
-    ("hang-up", Kind::HangUp),
-    ("store-busy", Kind::StoreBusy),
-    ("store-silent", Kind::StoreSilent),
-    ("store-loses-answers", Kind::StoreLosesAnswers),
-    ("store-turns-away", Kind::StoreTurnsAway),
-    ("store-forgets", Kind::StoreForgets),
-    ("store-drill", Kind::StoreDrill),
-    ("store-mute", Kind::StoreMute),
-    ("store-reset", Kind::StoreReset),
-    ("store-slow", Kind::StoreSlow),
-    ("store-holds-requests", Kind::StoreHoldsRequests),
-    ("store-holds-answers", Kind::StoreHoldsAnswers),
-    ("server-mute", Kind::ServerMute),
-    ("server-reset", Kind::ServerReset),
-    ("server-slow", Kind::ServerSlow),
-    ("server-holds-requests", Kind::ServerHoldsRequests),
-    ("server-holds-answers", Kind::ServerHoldsAnswers),
-    ("server-crash", Kind::ServerCrash),
-    ("server-drain", Kind::ServerDrain),
-    ("server-refuses", Kind::ServerRefuses),
-    ("server-fails", Kind::ServerFails),
-    ("server-loses-answers", Kind::ServerLosesAnswers),
-    ("server-answers-twice", Kind::ServerAnswersTwice),
-    ("server-forges", Kind::ServerForges),
-    ("crashing-request", Kind::CrashingRequest),
-    ("server-asks-rest", Kind::ServerAsksRest),
-    ("server-says-it-leaves", Kind::ServerSaysItLeaves),
-    ("server-names-limit", Kind::ServerNamesLimit),
+pub const FAULT_KINDS: [(&str, FaultKind); 33] = [
+    ("kill", FaultKind::Kill),
+    ("off", FaultKind::Off),
+    ("kill-all", FaultKind::KillAll),
+    ("pause", FaultKind::Pause),
+    ("stop", FaultKind::Stop),
+    ("hang-up", FaultKind::HangUp),
+    ("store-busy", FaultKind::StoreBusy),
+    ("store-silent", FaultKind::StoreSilent),
+    ("store-loses-answers", FaultKind::StoreLosesAnswers),
+    ("store-turns-away", FaultKind::StoreTurnsAway),
+    ("store-forgets", FaultKind::StoreForgets),
+    ("store-drill", FaultKind::StoreDrill),
+    ("store-mute", FaultKind::StoreMute),
+    ("store-reset", FaultKind::StoreReset),
+    ("store-slow", FaultKind::StoreSlow),
+    ("store-holds-requests", FaultKind::StoreHoldsRequests),
+    ("store-holds-answers", FaultKind::StoreHoldsAnswers),
+    ("server-mute", FaultKind::ServerMute),
+    ("server-reset", FaultKind::ServerReset),
+    ("server-slow", FaultKind::ServerSlow),
+    ("server-holds-requests", FaultKind::ServerHoldsRequests),
+    ("server-holds-answers", FaultKind::ServerHoldsAnswers),
+    ("server-crash", FaultKind::ServerCrash),
+    ("server-drain", FaultKind::ServerDrain),
+    ("server-refuses", FaultKind::ServerRefuses),
+    ("server-fails", FaultKind::ServerFails),
+    ("server-loses-answers", FaultKind::ServerLosesAnswers),
+    ("server-answers-twice", FaultKind::ServerAnswersTwice),
+    ("server-forges", FaultKind::ServerForges),
+    ("crashing-request", FaultKind::CrashingRequest),
+    ("server-asks-rest", FaultKind::ServerAsksRest),
+    ("server-says-it-leaves", FaultKind::ServerSaysItLeaves),
+    ("server-names-limit", FaultKind::ServerNamesLimit),
 ];
 
-impl Display for Kind {
+impl Display for FaultKind {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let named = KINDS.iter().find(|(_, kind)| kind == self);
+        let named = FAULT_KINDS.iter().find(|(_, kind)| kind == self);
         formatter.write_str(named.map_or("", |(name, _)| name))
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for FaultKind {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Kind, String> {
-        let named = KINDS.iter().find(|(name, _)| *name == text);
+    fn from_str(text: &str) -> Result<FaultKind, String> {
+        let named = FAULT_KINDS.iter().find(|(name, _)| *name == text);
         named.map(|(_, kind)| *kind).ok_or_else(|| {
-            let names: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+            let names: Vec<&str> = FAULT_KINDS.iter().map(|(name, _)| *name).collect();
             format!("`{text}` is no fault; there are {}", names.join(", "))
         })
     }
@@ -138,21 +138,21 @@
 
 /// A trouble: what, whom, when.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Trouble {
+pub struct Fault {
     /// When it begins, from the start of traffic.
     pub at: Duration,
     /// How long it lasts, where it lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What it is.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Whom it strikes: of all that fit, the one with this number, counted round.
     pub target: usize,
 }
 
-impl Display for Trouble {
+impl Display for Fault {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let (at, lasts) = (self.at.as_secs_f64(), self.lasts.as_secs_f64());
-        write!(formatter, "{at:.2} s {} {} for {lasts:.2} s", self.kind, self.target)
+        let (at, duration) = (self.at.as_secs_f64(), self.duration.as_secs_f64());
+        write!(formatter, "{at:.2} s {} {} for {duration:.2} s", self.kind, self.target)
     }
 }
 
@@ -160,135 +160,137 @@
 const MEAN_GAP_MS: u64 = 1_300;
 
 /// Time at the end without trouble: all shall be served again before it is over.
-pub const CALM_END: Duration = Duration::from_secs(8);
+pub const FAULT_FREE_END: Duration = Duration::from_secs(8);
 
 /// Shortest and longest trouble.
-const LASTS_MS: std::ops::Range<u64> = 300..4_000;
+const DURATION_MS: std::ops::Range<u64> = 300..4_000;
 
 /// One trouble of so many lasts several times as long: others forget and are forgotten meanwhile.
-const LONG_ONE_OF: u32 = 8;
+const LONG_ONE_IN: u32 = 8;
 
 /// Length of a spell of troubles, and of the calm after it, in which only planned work goes on: what is
 /// promised within a time is judged there.
-const SPELL_MS: std::ops::Range<u64> = 5_000..14_000;
-const CALM_MS: u64 = 12_000;
+const FAULT_PERIOD_MS: std::ops::Range<u64> = 5_000..14_000;
+const QUIET_PERIOD_MS: u64 = 12_000;
 
 /// Time from one request that crashes servers to the next, and for which each comes again.
-const COMES_MS: std::ops::Range<u64> = 4_000..40_000;
-const COMES_AGAIN_MS: std::ops::Range<u64> = 6_000..20_000;
+const CRASHING_REQUEST_GAP_MS: std::ops::Range<u64> = 4_000..40_000;
+const CRASHING_REQUEST_DURATION_MS: std::ops::Range<u64> = 6_000..20_000;
 
 /// Planned work, and what servers ask: no excuse for anything.
-pub const PLANNED: [Kind; 6] = [
-    Kind::Stop,
-    Kind::HangUp,
-    Kind::ServerDrain,
-    Kind::ServerAsksRest,
-    Kind::ServerSaysItLeaves,
-    Kind::ServerNamesLimit,
+pub const PLANNED: [FaultKind; 6] = [
+    FaultKind::Stop,
+    FaultKind::HangUp,
+    FaultKind::ServerDrain,
+    FaultKind::ServerAsksRest,
+    FaultKind::ServerSaysItLeaves,
+    FaultKind::ServerNamesLimit,
 ];
 
 /// Kinds that are drawn apart: without them, a seed's troubles are the same.
-const APART: [Kind; 5] = [
-    Kind::CrashingRequest,
-    Kind::ServerAsksRest,
-    Kind::ServerSaysItLeaves,
-    Kind::ServerNamesLimit,
-    Kind::StoreDrill,
+const SEPARATELY_DRAWN: [FaultKind; 5] = [
+    FaultKind::CrashingRequest,
+    FaultKind::ServerAsksRest,
+    FaultKind::ServerSaysItLeaves,
+    FaultKind::ServerNamesLimit,
+    FaultKind::StoreDrill,
 ];
 
 /// Time from one drill to the next; one of so many is followed by another after the shorter time.
-const DRILLS_MS: std::ops::Range<u64> = 8_000..20_000;
-const DRILLS_IN_A_ROW_MS: std::ops::Range<u64> = 200..3_000;
-const IN_A_ROW_ONE_OF: u32 = 3;
+const DRILL_GAP_MS: std::ops::Range<u64> = 8_000..20_000;
+const SHORT_DRILL_GAP_MS: std::ops::Range<u64> = 200..3_000;
+const SHORT_DRILL_GAP_ONE_IN: u32 = 3;
 
 /// How long the store is away in a drill.
-const DRILL_LASTS_MS: std::ops::Range<u64> = 100..2_500;
+const DRILL_DURATION_MS: std::ops::Range<u64> = 100..2_500;
 
 /// Time from one trouble in which a server asks something to the next.
-const ASKS_MS: std::ops::Range<u64> = 1_000..8_000;
+const NOTICE_GAP_MS: std::ops::Range<u64> = 1_000..8_000;
 
 /// How long a gateway is off that others are to forget: they do after a minute.
-const OFF: Duration = Duration::from_secs(80);
+const OFF_DURATION: Duration = Duration::from_secs(80);
 
 /// The troubles of a seed, in order.
-pub fn draw(seed: u64, length: Duration, kinds: &[Kind]) -> Vec<Trouble> {
+pub fn draw(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (apart, kinds): (Vec<Kind>, Vec<Kind>) =
-        kinds.iter().partition(|kind| APART.contains(kind));
-    let end = length.saturating_sub(CALM_END);
-    let planned: Vec<Kind> = kinds.iter().copied().filter(|kind| PLANNED.contains(kind)).collect();
-    let (mut troubles, mut begin) = (Vec::new(), Duration::ZERO);
+    let (separate, kinds): (Vec<FaultKind>, Vec<FaultKind>) =
+        kinds.iter().partition(|kind| SEPARATELY_DRAWN.contains(kind));
+    let end = length.saturating_sub(FAULT_FREE_END);
+    let planned: Vec<FaultKind> =
+        kinds.iter().copied().filter(|kind| PLANNED.contains(kind)).collect();
+    let (mut faults, mut begin) = (Vec::new(), Duration::ZERO);
     while begin < end {
-        let over = begin + Duration::from_millis(rng.random_range(SPELL_MS));
-        fill(&mut rng, &kinds, begin..over.min(end), &mut troubles);
-        begin = over + Duration::from_millis(CALM_MS);
-        fill(&mut rng, &planned, over..begin.min(end), &mut troubles);
+        let period_end = begin + Duration::from_millis(rng.random_range(FAULT_PERIOD_MS));
+        draw_period(&mut rng, &kinds, begin..period_end.min(end), &mut faults);
+        begin = period_end + Duration::from_millis(QUIET_PERIOD_MS);
+        draw_period(&mut rng, &planned, period_end..begin.min(end), &mut faults);
     }
     // It goes on into the calm, where others have got over it.
-    let is_off = |trouble: &&mut Trouble| trouble.kind == Kind::Off;
-    troubles
+    let is_off = |fault: &&mut Fault| fault.kind == FaultKind::Off;
+    faults
         .iter_mut()
         .filter(is_off)
-        .for_each(|trouble| trouble.lasts = OFF.min(end - trouble.at));
-    for kind in apart {
+        .for_each(|fault| fault.duration = OFF_DURATION.min(end - fault.at));
+    for kind in separate {
         let mut rng = ChaCha8Rng::seed_from_u64(!seed);
         match kind {
-            Kind::CrashingRequest => come_again(&mut rng, end, &mut troubles),
-            Kind::StoreDrill => drill(&mut rng, end, &mut troubles),
-            _ => ask_again(&mut rng, kind, end, &mut troubles),
+            FaultKind::CrashingRequest => draw_crashing_requests(&mut rng, end, &mut faults),
+            FaultKind::StoreDrill => draw_drills(&mut rng, end, &mut faults),
+            _ => draw_notices(&mut rng, kind, end, &mut faults),
         }
     }
-    troubles.sort_by_key(|trouble| trouble.at);
-    troubles
+    faults.sort_by_key(|fault| fault.at);
+    faults
 }
 
 /// Adds servers that ask something, at any time.
-fn ask_again(rng: &mut ChaCha8Rng, kind: Kind, end: Duration, troubles: &mut Vec<Trouble>) {
+fn draw_notices(rng: &mut ChaCha8Rng, kind: FaultKind, end: Duration, faults: &mut Vec<Fault>) {
     // Those of different kinds do not come at the same moments.
-    let mut at = Duration::from_millis(rng.random_range(ASKS_MS) / (2 + kind as u64 % 2));
+    let mut at = Duration::from_millis(rng.random_range(NOTICE_GAP_MS) / (2 + kind as u64 % 2));
     while at < end {
         // A limit is judged once it has been named for some seconds.
-        let times = if kind == Kind::ServerNamesLimit { 4 } else { 1 };
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS)) * times;
+        let times = if kind == FaultKind::ServerNamesLimit { 4 } else { 1 };
+        let duration = Duration::from_millis(rng.random_range(DURATION_MS)) * times;
         let target = rng.random_range(0..1_000);
-        troubles.push(Trouble { at, lasts: lasts.min(end - at), kind, target });
-        at += Duration::from_millis(rng.random_range(ASKS_MS));
+        faults.push(Fault { at, duration: duration.min(end - at), kind, target });
+        at += Duration::from_millis(rng.random_range(NOTICE_GAP_MS));
     }
 }
 
 /// Adds drills of the store, at any time.
-fn drill(rng: &mut ChaCha8Rng, end: Duration, troubles: &mut Vec<Trouble>) {
-    let mut at = Duration::from_millis(rng.random_range(DRILLS_IN_A_ROW_MS));
+fn draw_drills(rng: &mut ChaCha8Rng, end: Duration, faults: &mut Vec<Fault>) {
+    let mut at = Duration::from_millis(rng.random_range(SHORT_DRILL_GAP_MS));
     while at < end {
-        let lasts = Duration::from_millis(rng.random_range(DRILL_LASTS_MS)).min(end - at);
+        let duration = Duration::from_millis(rng.random_range(DRILL_DURATION_MS)).min(end - at);
         let target = rng.random_range(0..10_000);
-        troubles.push(Trouble { at, lasts, kind: Kind::StoreDrill, target });
-        let in_a_row = rng.random_range(0..IN_A_ROW_ONE_OF) == 0;
-        let gap_ms = rng.random_range(if in_a_row { DRILLS_IN_A_ROW_MS } else { DRILLS_MS });
-        at += lasts + Duration::from_millis(gap_ms);
+        faults.push(Fault { at, duration, kind: FaultKind::StoreDrill, target });
+        let short_gap = rng.random_range(0..SHORT_DRILL_GAP_ONE_IN) == 0;
+        let gap_ms = rng.random_range(if short_gap { SHORT_DRILL_GAP_MS } else { DRILL_GAP_MS });
+        at += duration + Duration::from_millis(gap_ms);
     }
 }
 
 /// Adds requests that crash servers, at any time.
-fn come_again(rng: &mut ChaCha8Rng, end: Duration, troubles: &mut Vec<Trouble>) {
+fn draw_crashing_requests(rng: &mut ChaCha8Rng, end: Duration, faults: &mut Vec<Fault>) {
     let mut at = Duration::ZERO;
     loop {
-        at += Duration::from_millis(rng.random_range(COMES_MS));
+        at += Duration::from_millis(rng.random_range(CRASHING_REQUEST_GAP_MS));
         if at >= end {
             return;
         }
-        let lasts = Duration::from_millis(rng.random_range(COMES_AGAIN_MS)).min(end - at);
+        let duration =
+            Duration::from_millis(rng.random_range(CRASHING_REQUEST_DURATION_MS)).min(end - at);
         let target = rng.random_range(0..1_000);
-        troubles.push(Trouble { at, lasts, kind: Kind::CrashingRequest, target });
+        faults.push(Fault { at, duration, kind: FaultKind::CrashingRequest, target });
     }
 }
 
 /// Troubles that begin and end in a span.
-fn fill(
+fn draw_period(
     rng: &mut ChaCha8Rng,
-    kinds: &[Kind],
+    kinds: &[FaultKind],
     span: std::ops::Range<Duration>,
-    troubles: &mut Vec<Trouble>,
+    faults: &mut Vec<Fault>,
 ) {
     let mut at = span.start;
     while !kinds.is_empty() {
@@ -296,10 +298,11 @@
         if at >= span.end {
             return;
         }
-        let long = rng.random_range(0..LONG_ONE_OF) == 0;
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS)) * if long { 4 } else { 1 };
+        let long = rng.random_range(0..LONG_ONE_IN) == 0;
+        let duration =
+            Duration::from_millis(rng.random_range(DURATION_MS)) * if long { 4 } else { 1 };
         let kind = kinds[rng.random_range(0..kinds.len())];
         let target = rng.random_range(0..1_000);
-        troubles.push(Trouble { at, lasts: lasts.min(span.end - at), kind, target });
+        faults.push(Fault { at, duration: duration.min(span.end - at), kind, target });
     }
 }
--- a/crates/soak/src/shrink.rs
+++ b/crates/soak/src/shrink.rs
@@ -1,33 +1,33 @@
 //! The fewest troubles with which a run still fails.
 
-use crate::schedule::Trouble;
+use crate::schedule::Fault;
 
 /// Leaves out ever smaller runs of troubles, as long as what is left `fails`; `tries` bounds how often
 /// that is asked.
 pub fn shrink(
-    troubles: &[Trouble],
-    mut tries: usize,
-    mut fails: impl FnMut(&[Trouble]) -> bool,
-) -> Vec<Trouble> {
-    let mut left = troubles.to_vec();
-    let mut size = left.len().div_ceil(2);
-    while size > 0 && tries > 0 {
+    faults: &[Fault],
+    mut attempts: usize,
+    mut fails: impl FnMut(&[Fault]) -> bool,
+) -> Vec<Fault> {
+    let mut remaining = faults.to_vec();
+    let mut size = remaining.len().div_ceil(2);
+    while size > 0 && attempts > 0 {
         let mut from = 0;
-        while from < left.len() && tries > 0 {
-            let without: Vec<Trouble> = left
+        while from < remaining.len() && attempts > 0 {
+            let without: Vec<Fault> = remaining
                 .iter()
                 .enumerate()
                 .filter(|(at, _)| !(from..from + size).contains(at))
-                .map(|(_, one)| *one)
+                .map(|(_, fault)| *fault)
                 .collect();
-            tries -= 1;
+            attempts -= 1;
             if fails(&without) {
-                left = without;
+                remaining = without;
             } else {
                 from += size;
             }
         }
         size = if size == 1 { 0 } else { size.div_ceil(2) };
     }
-    left
+    remaining
 }
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use hooktrestle_soak::ledger::Bounds;
+use hooktrestle_soak::ledger::GatewayIncarnation;
+use hooktrestle_soak::ledger::Guarantee;
 use hooktrestle_soak::ledger::Ledger;
-use hooktrestle_soak::ledger::Promise;
-use hooktrestle_soak::ledger::Through;
 use hooktrestle_soak::ledger::Verdict;
 use hooktrestle_users_standin::caller;
 use hooktrestle_users_standin::server::Act;
@@ -21,40 +21,40 @@
 }
 
 /// Nothing is allowed any time.
-fn strict() -> Bounds {
-    Bounds::stretched(0)
+fn zero_bounds() -> Bounds {
+    Bounds::scaled(0)
 }
 
-async fn server(ledger: &Ledger) -> Server {
+async fn start_server(ledger: &Ledger) -> Server {
     let server = Server::start("s1").await;
     server.usually(Act::Work);
-    ledger.serve(&server);
+    ledger.watch_server(&server);
     server
 }
 
 /// A request that reaches a server.
-async fn reach(server: &Server, id: &str) {
+async fn send_request(server: &Server, id: &str) {
     let sent = caller::request(&Client::new(), server.address, "/once/0", id, 1_000);
     sent.send().await.unwrap();
 }
 
-fn found(ledger: &Ledger) -> Vec<Promise> {
-    ledger.look();
-    ledger.findings().iter().map(|broken| broken.promise).collect()
+fn violated(ledger: &Ledger) -> Vec<Guarantee> {
+    ledger.poll();
+    ledger.violations().iter().map(|violation| violation.guarantee).collect()
 }
 
 #[test]
 fn a_second_run_of_what_must_not_be_repeated_is_found() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
-        let server = server(&ledger).await;
+        let server = start_server(&ledger).await;
         for (id, repeatable) in [("may", true), ("must-not", false)] {
-            ledger.send(id, repeatable);
-            reach(&server, id).await;
-            assert_eq!(found(&ledger), []);
-            reach(&server, id).await;
+            ledger.record_request(id, repeatable);
+            send_request(&server, id).await;
+            assert_eq!(violated(&ledger), []);
+            send_request(&server, id).await;
         }
-        assert_eq!(found(&ledger), [Promise::AtMostOnce]);
+        assert_eq!(violated(&ledger), [Guarantee::AtMostOnce]);
     });
 }
 
@@ -62,15 +62,15 @@
 fn a_refusal_of_what_runs_is_found_whichever_comes_first() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
-        let server = server(&ledger).await;
-        ledger.send("before", true);
-        reach(&server, "before").await;
-        assert_eq!(found(&ledger), []);
-        ledger.end("before", Verdict::NotRun);
-        ledger.send("after", true);
-        ledger.end("after", Verdict::NotRun);
-        reach(&server, "after").await;
-        assert_eq!(found(&ledger), [Promise::NotRun, Promise::NotRun]);
+        let server = start_server(&ledger).await;
+        ledger.record_request("before", true);
+        send_request(&server, "before").await;
+        assert_eq!(violated(&ledger), []);
+        ledger.record_verdict("before", Verdict::NotRun);
+        ledger.record_request("after", true);
+        ledger.record_verdict("after", Verdict::NotRun);
+        send_request(&server, "after").await;
+        assert_eq!(violated(&ledger), [Guarantee::NotRun, Guarantee::NotRun]);
     });
 }
 
@@ -78,12 +78,12 @@
 fn a_request_that_the_server_refused_has_not_run() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
-        let server = server(&ledger).await;
+        let server = start_server(&ledger).await;
         server.usually(Act::Refuse);
-        ledger.send("r1", false);
-        reach(&server, "r1").await;
-        ledger.end("r1", Verdict::NotRun);
-        assert_eq!(found(&ledger), []);
+        ledger.record_request("r1", false);
+        send_request(&server, "r1").await;
+        ledger.record_verdict("r1", Verdict::NotRun);
+        assert_eq!(violated(&ledger), []);
     });
 }
 
@@ -91,45 +91,45 @@
 fn what_nobody_asked_is_found() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
-        let server = server(&ledger).await;
-        reach(&server, "r1").await;
-        assert_eq!(found(&ledger), [Promise::Asked]);
+        let server = start_server(&ledger).await;
+        send_request(&server, "r1").await;
+        assert_eq!(violated(&ledger), [Guarantee::Asked]);
     });
 }
 
 #[test]
 fn work_for_a_server_that_left_is_found() {
     run(async {
-        let ledger = Ledger::new(strict());
-        let server = server(&ledger).await;
-        ledger.send("r1", true);
-        reach(&server, "r1").await;
-        ledger.leaves("s1");
-        assert_eq!(found(&ledger), []);
-        ledger.send("r2", true);
-        reach(&server, "r2").await;
-        assert_eq!(found(&ledger), [Promise::Drain]);
+        let ledger = Ledger::new(zero_bounds());
+        let server = start_server(&ledger).await;
+        ledger.record_request("r1", true);
+        send_request(&server, "r1").await;
+        ledger.mark_leaving("s1");
+        assert_eq!(violated(&ledger), []);
+        ledger.record_request("r2", true);
+        send_request(&server, "r2").await;
+        assert_eq!(violated(&ledger), [Guarantee::Drain]);
     });
 }
 
 #[test]
 fn work_for_a_caller_that_left_is_found_until_its_end() {
     run(async {
-        let ledger = Ledger::new(strict());
-        let server = server(&ledger).await;
+        let ledger = Ledger::new(zero_bounds());
+        let server = start_server(&ledger).await;
         server.usually(Act::Hang);
-        ledger.send("r1", true);
+        ledger.record_request("r1", true);
         let asked = server.clone();
-        let asks = tokio::task::spawn_local(async move { reach(&asked, "r1").await });
+        let asks = tokio::task::spawn_local(async move { send_request(&asked, "r1").await });
         while server.unended().is_empty() {
             tokio::task::yield_now().await;
         }
-        assert_eq!(found(&ledger), []);
-        ledger.end("r1", Verdict::Left(Instant::now()));
-        assert_eq!(found(&ledger), [Promise::Close]);
+        assert_eq!(violated(&ledger), []);
+        ledger.record_verdict("r1", Verdict::Left(Instant::now()));
+        assert_eq!(violated(&ledger), [Guarantee::Close]);
         asks.abort();
         server.left.notified().await;
-        assert_eq!(found(&ledger), [Promise::Close], "once");
+        assert_eq!(violated(&ledger), [Guarantee::Close], "once");
     });
 }
 
@@ -137,95 +137,100 @@
 fn too_many_repeats_are_found() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
-        let server = server(&ledger).await;
-        ledger.send("r1", true);
+        let server = start_server(&ledger).await;
+        ledger.record_request("r1", true);
         for _ in 0..30 {
-            reach(&server, "r1").await;
+            send_request(&server, "r1").await;
         }
-        ledger.judge_repeats();
-        assert_eq!(found(&ledger), [Promise::Repeats]);
+        ledger.check_retries();
+        assert_eq!(violated(&ledger), [Guarantee::Repeats]);
     });
 }
 
 #[test]
 fn what_depends_on_time_is_not_judged_while_something_goes_wrong() {
     run(async {
-        let ledger = Ledger::new(strict());
-        let server = server(&ledger).await;
+        let ledger = Ledger::new(zero_bounds());
+        let server = start_server(&ledger).await;
         let now = Instant::now();
         let kind = "pause".parse().unwrap();
-        ledger.trouble(kind, now, now + Duration::from_secs(1));
-        ledger.send("r1", true);
-        ledger.leaves("s1");
-        reach(&server, "r1").await;
-        assert_eq!(found(&ledger), []);
+        ledger.record_fault(kind, now, now + Duration::from_secs(1));
+        ledger.record_request("r1", true);
+        ledger.mark_leaving("s1");
+        send_request(&server, "r1").await;
+        assert_eq!(violated(&ledger), []);
     });
 }
 
 #[test]
 fn a_request_for_a_server_that_asked_this_gateway_for_rest_is_found() {
     run(async {
-        let bounds = Bounds { rest: Duration::ZERO, ..Bounds::default() };
+        let bounds = Bounds { back_off: Duration::ZERO, ..Bounds::default() };
         let ledger = Ledger::new(bounds);
-        let server = server(&ledger).await;
+        let server = start_server(&ledger).await;
         let asks = ["30", "soon"].map(|text| Act::AskRest(text.to_owned()));
         server.next(asks);
-        let (one, other) = (Through { gateway: 0, life: 1 }, Through { gateway: 1, life: 1 });
+        let (one, other) = (
+            GatewayIncarnation { index: 0, incarnation: 1 },
+            GatewayIncarnation { index: 1, incarnation: 1 },
+        );
         let sent = [
             ("r1", one),
             ("r2", other),
-            ("r3", Through { life: 2, ..one }),
+            ("r3", GatewayIncarnation { incarnation: 2, ..one }),
             ("r4", other),
             ("r5", one),
         ];
-        for (id, through) in sent {
-            ledger.send(id, true);
-            ledger.goes_through(id, through);
-            reach(&server, id).await;
+        for (id, gateway) in sent {
+            ledger.record_request(id, true);
+            ledger.record_gateway(id, gateway);
+            send_request(&server, id).await;
         }
-        // One life of one gateway was asked, and sent one more.
-        assert_eq!(found(&ledger), [Promise::Rest]);
+        // One incarnation of one gateway was asked, and sent one more.
+        assert_eq!(violated(&ledger), [Guarantee::Rest]);
     });
 }
 
 #[test]
 fn a_request_for_a_server_that_told_this_gateway_that_it_leaves_is_found() {
     run(async {
-        let ledger = Ledger::new(strict());
-        let server = server(&ledger).await;
+        let ledger = Ledger::new(zero_bounds());
+        let server = start_server(&ledger).await;
         server.say_it_leaves(true);
-        let one = Through { gateway: 0, life: 1 };
-        for (id, through) in [("r1", one), ("r2", Through { life: 2, ..one }), ("r3", one)] {
-            ledger.send(id, true);
-            ledger.goes_through(id, through);
-            reach(&server, id).await;
+        let one = GatewayIncarnation { index: 0, incarnation: 1 };
+        for (id, gateway) in
+            [("r1", one), ("r2", GatewayIncarnation { incarnation: 2, ..one }), ("r3", one)]
+        {
+            ledger.record_request(id, true);
+            ledger.record_gateway(id, gateway);
+            send_request(&server, id).await;
         }
-        assert_eq!(found(&ledger), [Promise::Parting]);
+        assert_eq!(violated(&ledger), [Guarantee::Parting]);
     });
 }
 
 #[test]
 fn more_than_a_server_takes_is_found_whichever_gateways_it_comes_through() {
     run(async {
-        let ledger = Ledger::new(strict());
-        let server = server(&ledger).await;
+        let ledger = Ledger::new(zero_bounds());
+        let server = start_server(&ledger).await;
         server.name_limit(Some("0.5"));
         // 0.5 a second allow 8 in 4 s.
         for number in 0..9 {
-            assert_eq!(found(&ledger), [], "{number}");
+            assert_eq!(violated(&ledger), [], "{number}");
             let id = format!("r{number}");
-            ledger.send(&id, false);
-            ledger.goes_through(&id, Through { gateway: number % 3, life: 1 });
-            reach(&server, &id).await;
+            ledger.record_request(&id, false);
+            ledger.record_gateway(&id, GatewayIncarnation { index: number % 3, incarnation: 1 });
+            send_request(&server, &id).await;
         }
-        assert_eq!(found(&ledger), [Promise::Limit]);
+        assert_eq!(violated(&ledger), [Guarantee::Limit]);
         server.name_limit(None);
         for number in 0..20 {
             let id = format!("free{number}");
-            ledger.send(&id, false);
-            ledger.goes_through(&id, Through { gateway: number % 3, life: 1 });
-            reach(&server, &id).await;
+            ledger.record_request(&id, false);
+            ledger.record_gateway(&id, GatewayIncarnation { index: number % 3, incarnation: 1 });
+            send_request(&server, &id).await;
         }
-        assert_eq!(found(&ledger), [Promise::Limit], "it names none any more");
+        assert_eq!(violated(&ledger), [Guarantee::Limit], "it names none any more");
     });
 }
