--- a/crates/soak/src/backends.rs
+++ b/crates/soak/src/backends.rs
@@ -1,4 +1,6 @@
-//! The store and the backend servers, and what goes wrong with them.
+//! Stand-ins for the store and the backend servers, and their faults.
+//! Input: faults of the store and of servers. State: servers that accept requests, store snapshots.
+//! Decides when a server is replaced, when rows are removed and what the store loses in a drill.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,58 +23,60 @@
 use crate::network;
 use crate::schedule::FaultKind;
 
-/// Time for which a server that leaves is listed as leaving, and then serves on.
+/// Time for which the row of a leaving server stays in the store. The server runs on after it.
 const LISTED_AS_LEAVING: Duration = Duration::from_secs(2);
 
-/// What servers tell for a rest: times, and texts that are none.
+/// Back-off texts that servers send: valid times and invalid texts.
 const BACK_OFF_VALUES: [&str; 6] = ["3", "1.5", "0.4", "8", "-1", "soon"];
 
-/// What servers name as a limit: numbers, and texts that are none.
+/// Limit texts that servers advertise: valid numbers and invalid texts.
 const LIMIT_VALUES: [&str; 8] = ["1.3", "0.4", "2", "0", "7.25", "1e12", "-1", "soon"];
 
-/// The oldest copy from which the store comes back in a drill.
+/// Maximum age of the snapshot with which the store returns in a drill.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(10);
 
-/// Within what time of a drill's end the operator and the servers write again.
+/// Time after the end of a drill within which the operator and the servers write their lost rows
+/// again.
 const REWRITE_WITHIN_MS: u64 = 1_500;
 
-/// Tables of the operator and of the servers, who write again what the store has lost.
+/// Tables of the operator and of the servers, whose lost rows are written again after a drill.
 const REWRITTEN_TABLES: [&str; 2] = ["op", "servers"];
 
-/// Time after which the row of a server that crashed is gone.
+/// Time after a crash until the row of the server is removed.
 const ROW_EXPIRY: Duration = Duration::from_millis(1_500);
 
-/// Time from then until another server comes for one that crashed under a request.
+/// Time from the removal of the row until another server replaces one that crashed while it ran a
+/// request.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A server, and the way on which gateways reach it.
+/// A server, and the proxy through which gateways reach it.
 #[derive(Clone)]
 struct ProxiedServer {
     server: Server,
     proxy: Proxy,
 }
 
-/// The store and the servers.
+/// The store and the backend servers.
 pub struct Backends {
-    /// The store, as operators reach it.
+    /// The store, at the address for operators.
     pub store: Store,
     ledger: Rc<Ledger>,
     store_endpoints: RefCell<Vec<Store>>,
-    /// Servers that take work.
+    /// Servers that accept requests.
     active: RefCell<Vec<ProxiedServer>>,
     started_count: Cell<u32>,
     version: Cell<u64>,
     accepted_at: Cell<Instant>,
-    /// Bodies under which servers crash.
+    /// Request bodies that crash servers.
     crash_bodies: RefCell<Vec<String>>,
-    /// Copies of the store, the newest at the end.
+    /// Snapshots of the store, the newest at the end.
     snapshots: RefCell<VecDeque<(Instant, Copy)>>,
-    /// Drills that go on.
+    /// Number of drills in progress.
     drills: Cell<u32>,
 }
 
 impl Backends {
-    /// A store with a configuration, and servers.
+    /// Starts a store with a configuration, and `servers` servers.
     pub async fn start(servers: usize, ledger: Rc<Ledger>) -> Rc<Backends> {
         let backends = Rc::new(Backends {
             store: Store::start().await,
@@ -93,7 +97,8 @@
         backends
     }
 
-    /// The operator changes the configuration; returns whether the store took it.
+    /// Writes a new version of the configuration, as the operator does. Returns whether the store
+    /// accepted it, which it does not during a drill.
     pub fn configure(&self) -> bool {
         if self.drills.get() > 0 {
             return false;
@@ -106,7 +111,7 @@
         true
     }
 
-    /// The newest configuration, and when it was accepted.
+    /// The newest configuration version, and when the store accepted it.
     pub fn newest_configuration(&self) -> (u64, Instant) {
         (self.version.get(), self.accepted_at.get())
     }
@@ -123,13 +128,13 @@
         self.active.borrow_mut().push(ProxiedServer { server, proxy });
     }
 
-    /// From now on servers crash under requests with this body, and others come for them.
+    /// From now on servers crash when they run a request with this body, and others replace them.
     pub fn crash_on(&self, body: &str) {
         self.crash_bodies.borrow_mut().push(body.to_owned());
         self.active.borrow().iter().for_each(|proxied| proxied.server.crash_on(body));
     }
 
-    /// Copies the store.
+    /// Takes a snapshot of the store, and drops snapshots that are too old for a drill.
     fn take_snapshot(&self) {
         let mut snapshots = self.snapshots.borrow_mut();
         snapshots.push_back((Instant::now(), self.store.copy()));
@@ -138,7 +143,7 @@
         }
     }
 
-    /// The store is away, and comes back from a copy that is as old as `target` tells.
+    /// Makes the store unavailable, and then restores the snapshot selected by `target`.
     async fn drill(self: &Rc<Self>, target: usize, duration: Duration) {
         let copy = {
             let snapshots = self.snapshots.borrow();
@@ -150,7 +155,7 @@
         self.set_mood_for(mood, duration).await;
         let lost = self.store.restore(&copy);
         self.drills.set(self.drills.get() - 1);
-        // What the drill before had lost is not written by then.
+        // Rows lost in the previous drill are not yet written again by then.
         self.snapshots.borrow_mut().clear();
         for (number, write) in lost.into_iter().enumerate() {
             if !REWRITTEN_TABLES.contains(&write.table.as_str()) {
@@ -165,10 +170,10 @@
         }
     }
 
-    /// Looks for servers that crashed under a request: others come for them after a while.
+    /// Detects servers that crashed while they ran a request, and replaces them after a delay.
     pub fn poll(self: &Rc<Self>) {
         if self.drills.get() == 0 {
-            // Servers check in.
+            // Heartbeats of servers advance the revision of the store.
             self.store.count_up();
             self.take_snapshot();
         }
@@ -191,7 +196,7 @@
         self.active.borrow_mut().retain(|proxied| proxied.server.id != id);
     }
 
-    /// A trouble of the store or of a server, until it is over.
+    /// Injects a fault into the store or a server, and waits until the fault has ended.
     pub async fn inject(self: &Rc<Self>, kind: FaultKind, target: usize, duration: Duration) {
         match kind {
             FaultKind::StoreBusy => self.set_mood_for(Mood::Busy, duration).await,
@@ -218,12 +223,12 @@
                     self.inject_server_fault(kind, proxied, target, duration).await;
                 }
             }
-            // The gateways' own.
+            // `Fleet::inject` injects the faults of gateways.
             _ => {}
         }
     }
 
-    /// One more address of the store, for one gateway.
+    /// Opens a further address of the store, for one gateway.
     pub async fn add_store_endpoint(&self) -> Store {
         let endpoint = self.store.other_door().await;
         self.store_endpoints.borrow_mut().push(endpoint.clone());
@@ -278,7 +283,7 @@
         self.replace(server, duration).await;
     }
 
-    /// The row of a server that crashed goes, and another server comes.
+    /// Removes the row of a crashed server, and starts another server after `duration`.
     async fn replace(&self, server: &Server, duration: Duration) {
         time::sleep(ROW_EXPIRY).await;
         self.store.remove("servers", &server.id);
@@ -294,7 +299,7 @@
         self.remove_later(server).await;
     }
 
-    /// A server says that it leaves in its answers alone; the list says that it takes work.
+    /// A server announces only in its answers that it is leaving; its row shows that it is ready.
     async fn announce_leaving(self: &Rc<Self>, server: &Server) {
         self.deactivate(&server.id);
         self.add_server().await;
@@ -303,11 +308,11 @@
         self.ledger.mark_leaving(&server.id);
     }
 
-    /// The row of a server that leaves goes after a while.
+    /// Removes the row of a leaving server after some time.
     async fn remove_later(&self, server: &Server) {
         time::sleep(LISTED_AS_LEAVING).await;
         self.store.remove("servers", &server.id);
-        // It serves on for long: who is sent there after its time is seen.
+        // The server runs on beyond the drain bound, so that late requests to it are detected.
         let server = server.clone();
         let shutdown_delay = self.ledger.bounds.drain * 4;
         task::spawn_local(async move {
@@ -317,7 +322,7 @@
     }
 }
 
-/// The route that one version of the configuration has, and no other.
+/// The route that only this version of the configuration has.
 pub fn route_of(version: u64) -> String {
     format!("v{version}")
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,6 @@
-//! Callers: they ask which gateways to use, keep connections, wait, leave, and ask again at once.
+//! Callers: clients that fetch the list of gateways, keep connections, wait, disconnect and retry.
+//! Input: a seed, the running system. State: the list of gateways and the random generator.
+//! Decides which request goes to which gateway, and the verdict on each answer.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -26,45 +28,45 @@
 use crate::ledger::Verdict;
 use crate::schedule::Fault;
 
-/// How long callers wait for an answer.
+/// Deadline of requests.
 const DEADLINE_MS: u64 = 3_000;
 
-/// How long a caller keeps an answer on which gateways to use.
+/// How long a caller uses a list of gateways before it fetches the list again.
 const REFRESH_MS: std::ops::Range<u64> = 1_000..3_000;
 
 /// Pause between two requests of one caller.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
 
-/// Pause between two times that a request which crashes servers comes.
+/// Pause between two attempts of a request that crashes servers.
 const CRASH_PAUSE_MS: std::ops::Range<u64> = 50..500;
 
-/// The cause by which a gateway refuses a request that crashes servers.
+/// Cause with which a gateway refuses a request that crashes servers.
 const CRASHES_SERVERS: &str = "crashes-servers";
 
-/// The cause by which it holds one back that a server was beginning to run as it crashed.
+/// Cause with which a gateway holds back a request that a server was starting when it crashed.
 const CRASH_SUSPECT: &str = "crash-suspect";
 
-/// Events of a stream.
+/// Number of events of a stream.
 const EVENTS: std::ops::Range<u32> = 2..60;
 
-/// Time between two looks at which configuration is in force at a gateway.
+/// Time between two checks of the configuration in force at a gateway.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What all callers share.
+/// State that all callers share.
 pub struct RunContext {
     /// The gateways.
     pub fleet: Rc<Fleet>,
-    /// The store and the servers.
+    /// The store and the backend servers.
     pub backends: Rc<Backends>,
-    /// What is seen.
+    /// Requests, arrivals and violations.
     pub ledger: Rc<Ledger>,
-    /// Whether callers go on.
+    /// Whether callers send further requests.
     pub running: Cell<bool>,
     last_number: Cell<u64>,
 }
 
 impl RunContext {
-    /// Callers go on until it is closed.
+    /// Creates the state; callers send requests until `running` is cleared.
     pub fn new(fleet: Rc<Fleet>, backends: Rc<Backends>, ledger: Rc<Ledger>) -> RunContext {
         RunContext { fleet, backends, ledger, running: Cell::new(true), last_number: Cell::new(0) }
     }
@@ -74,7 +76,7 @@
         format!("r{}", self.last_number.get())
     }
 
-    /// Notes that a request goes to a gateway, as it lives now.
+    /// Records a request and the current incarnation of the gateway that it goes to.
     fn record_request(&self, id: &str, repeatable: bool, gateway: SocketAddr) {
         self.ledger.record_request(id, repeatable);
         let mut gateways = self.fleet.gateways.iter().enumerate();
@@ -100,25 +102,25 @@
     refresh_at: Instant,
 }
 
-/// What a caller asks for.
+/// A request to send.
 #[derive(Clone, Debug)]
 struct RequestSpec {
     path: String,
     repeatable: bool,
-    /// Events that a whole answer has; `None` for an answer that is the request's id.
+    /// Number of events of a complete answer; `None` if the answer is the id of the request.
     events: Option<u32>,
     disconnects_after: Option<Duration>,
 }
 
 impl Caller {
-    /// A caller with its own connections, drawing from a seed.
+    /// Creates a caller with connections of its own, which draws requests from a seed.
     pub fn new(context: Rc<RunContext>, seed: u64) -> Caller {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let refresh_at = Instant::now();
         Caller { context, client: Client::new(), rng, addresses: Vec::new(), refresh_at }
     }
 
-    /// Asks until the world is closed.
+    /// Sends requests until the run ends.
     pub async fn run(mut self) {
         while self.context.running.get() {
             if self.refresh_at <= Instant::now() || self.addresses.is_empty() {
@@ -128,7 +130,7 @@
                 Some(gateway) => self.request(gateway).await,
                 None => false,
             };
-            // Some ask again at once.
+            // Half of the retries follow without a pause.
             if !again || self.rng.random_bool(0.5) {
                 time::sleep(Duration::from_millis(self.rng.random_range(PAUSE_MS))).await;
             }
@@ -158,7 +160,7 @@
         let Some(off) = named.down_since.get().map(|since| since.elapsed()) else { return };
         ledger.record_check(Guarantee::Named);
         if off > ledger.bounds.listed {
-            let detail = format!("{} names {}, off for {off:?}", asked.name, named.name);
+            let detail = format!("{} lists {}, down for {off:?}", asked.name, named.name);
             ledger.report(Guarantee::Named, detail);
         }
     }
@@ -174,13 +176,13 @@
             7..9 => ("flow", true, Some(events)),
             _ => ("brook", false, Some(events)),
         };
-        // Whoever leaves leaves much work behind.
+        // A caller that disconnects leaves a long request behind.
         let work_or_abandoned_ms = if disconnects_after.is_some() { 2_500 } else { work_ms };
         let path = format!("/{route}/{}", events.unwrap_or(work_or_abandoned_ms));
         RequestSpec { path, repeatable, events, disconnects_after }
     }
 
-    /// Whether it wants to be asked again.
+    /// Sends a request, and returns whether the caller retries.
     async fn request(&mut self, gateway: SocketAddr) -> bool {
         let (spec, id) = (self.draw_request(), self.context.next_id());
         let (ledger, sent_at) = (self.context.ledger.clone(), Instant::now());
@@ -203,7 +205,7 @@
                 ledger.report(Guarantee::Answered, detail);
             }
         }
-        // The gateway may be gone: ask which to use.
+        // The gateway may be down: use other gateways, or fetch the list again if none is left.
         if verdict == Verdict::Open {
             self.addresses.retain(|address| *address != gateway);
         }
@@ -221,11 +223,10 @@
     if caller::says_not_run(&answer) && !caller::is_signed(&answer) {
         let text = answer.text().await.unwrap_or_default();
         if text.contains(CRASHES_SERVERS) {
-            ledger
-                .report(Guarantee::Crashing, format!("{id} is taken for one that crashes servers"));
+            ledger.report(Guarantee::Crashing, format!("{id} is refused: crashes servers"));
         }
         if text.contains(CRASH_SUSPECT) && !ledger.has_recent_crash() {
-            ledger.report(Guarantee::Crashing, format!("{id} is held back, and no server crashed"));
+            ledger.report(Guarantee::Crashing, format!("{id} is held back, but no server crashed"));
         }
         return Verdict::NotRun;
     }
@@ -233,7 +234,7 @@
         return Verdict::Open;
     }
     if !caller::is_signed(&answer) {
-        ledger.report(Guarantee::OwnAnswer, format!("{id} has a success without a signature"));
+        ledger.report(Guarantee::OwnAnswer, format!("{id} got a success without a signature"));
     }
     match spec.events {
         Some(events) => stream(answer, id, events, ledger).await,
@@ -245,14 +246,15 @@
     match answer.text().await {
         Ok(text) if text == id => Verdict::Answered,
         Ok(text) => {
-            ledger.report(Guarantee::OwnAnswer, format!("{id} was answered {text:?}"));
+            ledger.report(Guarantee::OwnAnswer, format!("{id} got the answer {text:?}"));
             Verdict::Answered
         }
         Err(_) => Verdict::Open,
     }
 }
 
-/// Reads a stream: each event once, in order, its caller's own, and all of them if it ends.
+/// Reads a stream. It must contain each event of the request once and in order, and all of them if
+/// it ends without an error.
 async fn stream(answer: Response, id: &str, events: u32, ledger: &Ledger) -> Verdict {
     let (mut chunks, mut text) = (answer.bytes_stream(), String::new());
     let mut whole = true;
@@ -269,13 +271,13 @@
     let expected: String =
         (0..events).map(|event| format!("id: {event}\ndata: {id}\n\n")).collect();
     if !expected.starts_with(complete) || (whole && text != expected) {
-        let detail = format!("{id} has other events than were sent, whole {whole}: {text:?}");
+        let detail = format!("{id} got wrong events, complete {whole}: {text:?}");
         ledger.report(Guarantee::OwnAnswer, detail);
     }
     if whole { Verdict::Answered } else { Verdict::Open }
 }
 
-/// A request that crashes servers comes again and again, at any gateway.
+/// Sends a request that crashes servers repeatedly, to randomly drawn gateways.
 pub async fn send_crashing_requests(context: Rc<RunContext>, fault: Fault) {
     let body = format!("crashes servers, {}", context.next_id());
     context.ledger.add_crashing_body(&body);
@@ -304,10 +306,10 @@
     }
 }
 
-/// Asks a gateway again and again which configuration is in force there.
+/// Checks repeatedly which configuration is in force at a gateway.
 pub async fn probe_configuration(context: Rc<RunContext>, gateway: Rc<Gateway>) {
     let client = Client::new();
-    // The newest version that one life of the gateway has shown.
+    // The newest version that the current incarnation of the gateway had in force.
     let (mut incarnation, mut newest_seen) = (0, 0);
     while context.running.get() {
         time::sleep(PROBE_INTERVAL).await;
@@ -328,7 +330,8 @@
         {
             context.ledger.record_check(Guarantee::Configuration);
             if in_force == Some(false) && context.backends.newest_configuration().0 == newest {
-                let detail = format!("{} has not {newest} in force", gateway.name);
+                let detail =
+                    format!("{} does not have configuration {newest} in force", gateway.name);
                 context.ledger.report(Guarantee::Configuration, detail);
             }
         }
@@ -345,7 +348,7 @@
     }
 }
 
-/// Whether the route of one version exists; `None` if that could not be told.
+/// Whether the route of a version exists; `None` if the response does not show it.
 async fn has_route(
     context: &RunContext,
     client: &Client,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,6 @@
-//! The gateways: real processes, started, signalled and ended by their own ids.
+//! The gateway processes: starts them, sends signals to them by process id, and stops them.
+//! Input: faults of gateways. State: the current process of each gateway and its active faults.
+//! Decides when a process is started again, and reports processes that exit unexpectedly.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -34,60 +36,61 @@
 use crate::network;
 use crate::schedule::FaultKind;
 
-/// Longest planned stop, as the gateways are told.
+/// Maximum duration of a planned stop, in the settings of the gateways.
 const STOP_WITHIN_S: u64 = 8;
 
-/// Time between two looks at whether a process has ended.
+/// Time between two checks of whether a process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time in which a process that has started or woken hears what there is.
+/// Time in which a process that was started or resumed receives the current state.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// The gateway's program.
+/// File name of the gateway program.
 const PROGRAM: &str = "hooktrestle-gateway";
 
-/// First port of the first gateway; each has four.
+/// First port of the first gateway; each gateway has four ports.
 const FIRST_PORT: u16 = 4_000;
 
-/// Second byte of the addresses, above those that are used by hand, and what is kept of a process's id.
+/// Second byte of the addresses, above those that are used by hand, and the bits of the process id
+/// that are added to it.
 const ADDRESS_PREFIX: u8 = 0x40;
 const PROCESS_ID_MASK: u8 = 0x3f;
 
-/// Where a gateway listens.
+/// Addresses where a gateway listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For callers.
+    /// For requests of callers.
     pub callers: SocketAddr,
-    /// For who asks which gateways to use.
+    /// For callers that ask for the list of gateways.
     pub endpoints: SocketAddr,
-    /// For who asks whether it is ready.
+    /// For readiness checks.
     pub readiness: SocketAddr,
-    /// For other gateways.
+    /// For messages of other gateways.
     pub peers: SocketAddr,
 }
 
-/// One gateway: its addresses stay, its processes come and go.
+/// A gateway. Its addresses stay the same for all its processes.
 pub struct Gateway {
-    /// Its name.
+    /// Its name in its settings.
     pub name: String,
-    /// Where it listens.
+    /// Its addresses.
     pub at: Addresses,
     store: Store,
     store_proxy: Proxy,
     settings: PathBuf,
     child: RefCell<Option<Child>>,
-    /// How many processes it has had.
+    /// Number of processes started for it.
     pub incarnations: Cell<u32>,
-    /// Since when it is off, if it is.
+    /// Since when it has no process; `None` while a process runs.
     pub down_since: Cell<Option<Instant>>,
-    /// When its process started or woke last.
+    /// When its process was last started or resumed.
     resumed_at: Cell<Instant>,
-    /// How many troubles have it in hand: it is started again by the last that ends.
+    /// Number of active faults that affect the process. The last one to end starts it again.
     active_faults: Cell<u32>,
 }
 
 impl Gateway {
-    /// Whether its process runs and has had time to hear what there is.
+    /// Whether its process runs and has had time to receive the current state.
     pub fn is_settled(&self) -> bool {
         let has_fault = self.active_faults.get() > 0 || self.down_since.get().is_some();
         !has_fault && self.resumed_at.get().elapsed() > SETTLE_TIME
@@ -100,12 +103,12 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.process_id().and_then(|id| Pid::from_raw(id.cast_signed())) {
-            // It may have ended by itself, and is found to have then.
+            // The process may have exited by itself, which `restart_exited` detects.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether its process has ended, and how.
+    /// Whether its process exited with success; `None` if it has not exited.
     fn exit_success(&self) -> Option<bool> {
         let mut child = self.child.borrow_mut();
         let status = child.as_mut()?.try_wait().ok()??;
@@ -126,24 +129,24 @@
     ledger: Rc<Ledger>,
 }
 
-/// The gateway's program: the one that was named, or the one beside the program that asks.
+/// Path of the gateway program: the given one, or the one in the folder of the current program.
 ///
 /// # Errors
 ///
-/// There is none.
+/// The program does not exist.
 pub fn program(given: Option<PathBuf>) -> Result<PathBuf> {
     let default = std::env::current_exe()?.with_file_name(PROGRAM);
     let program = given.unwrap_or(default);
     ensure!(
         program.exists(),
-        "{} is missing: build it, or name it by --program",
+        "gateway program {} does not exist: build it, or pass --program",
         program.display()
     );
     Ok(program)
 }
 
 impl Fleet {
-    /// Starts so many gateways of a program; their settings and logs go into a folder.
+    /// Starts `count` gateways; their settings and logs are written to `folder`.
     ///
     /// # Errors
     ///
@@ -199,7 +202,7 @@
         Ok(())
     }
 
-    /// A trouble of a gateway, until it is over.
+    /// Injects a fault into a gateway, and waits until the fault has ended.
     pub async fn inject(&self, kind: FaultKind, target: usize, duration: Duration) {
         let gateway = self.gateways[target % self.gateways.len()].clone();
         match kind {
@@ -259,14 +262,14 @@
     }
 
     async fn stop(&self, gateway: &Gateway) {
-        // Planned work leaves callers somebody else to go to.
+        // During planned operations at least one other gateway must serve callers.
         let has_others = self.settled_others(gateway) > 0;
         if gateway.active_faults.get() > 0 || gateway.child.borrow().is_none() || !has_others {
             return;
         }
         gateway.active_faults.set(1);
         gateway.signal(Signal::TERM);
-        // Time in which something else held it is not its own.
+        // Time during which another fault affects the process does not count.
         let (mut own_time, mut polled_at) = (Duration::ZERO, Instant::now());
         loop {
             time::sleep(POLL_INTERVAL).await;
@@ -276,16 +279,16 @@
             match gateway.exit_success() {
                 Some(clean) => {
                     if only_fault && !clean {
-                        let detail = format!("{} ended badly when told to stop", gateway.name);
+                        let detail = format!("{} exited with an error after SIGTERM", gateway.name);
                         self.ledger.report(Guarantee::Stop, detail);
                     }
                     gateway.mark_down();
                     break;
                 }
-                // Something else has ended it, or holds it.
+                // Another fault has ended the process, or affects it.
                 None if gateway.child.borrow().is_none() => break,
                 None if only_fault && own_time > self.ledger.bounds.stop => {
-                    let detail = format!("{} does not end", gateway.name);
+                    let detail = format!("{} did not exit in time after SIGTERM", gateway.name);
                     self.ledger.report(Guarantee::Stop, detail);
                     break;
                 }
@@ -296,7 +299,7 @@
         self.end_fault(gateway);
     }
 
-    /// The end of a trouble: whoever is off and in nobody's hand starts again.
+    /// Ends a fault of a gateway. Starts its process if it is down and no other fault affects it.
     fn end_fault(&self, gateway: &Gateway) {
         gateway.active_faults.set(gateway.active_faults.get().saturating_sub(1));
         if gateway.active_faults.get() == 0
@@ -307,12 +310,12 @@
         }
     }
 
-    /// Starts processes again that have ended by themselves, and says so.
+    /// Restarts processes that have exited by themselves, and reports them as violations.
     pub fn restart_exited(&self) {
         for gateway in &self.gateways {
             if gateway.active_faults.get() == 0 && gateway.exit_success().is_some() {
                 let detail = format!(
-                    "{} ended by itself, life {}",
+                    "{} exited unexpectedly, incarnation {}",
                     gateway.name,
                     gateway.incarnations.get()
                 );
@@ -324,7 +327,7 @@
         }
     }
 
-    /// Ends all processes.
+    /// Kills all processes.
     pub fn kill_all(&self) {
         self.gateways.iter().for_each(|gateway| drop(gateway.child.replace(None)));
     }
@@ -342,8 +345,8 @@
     )
 }
 
-/// Where a gateway with a number listens: at an address of the loopback network that belongs to this
-/// process alone. Ports that were free a moment ago may be taken by a connection while a gateway is off.
+/// Addresses of the gateway with this number, on a loopback address that only this process uses. On
+/// a shared address, an outgoing connection could take the port of a gateway that is off.
 pub fn addresses(number: usize) -> Addresses {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let ip = Ipv4Addr::new(127, ADDRESS_PREFIX | (high & PROCESS_ID_MASK), middle, low);
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,6 @@
-//! What was told to callers, what servers ran, and the promises between the two.
+//! Ledger: compares the answers that callers got with the requests that servers received and ran.
+//! Input: requests, verdicts, arrivals and faults. State: all of them, and the violations found.
+//! Decides whether the guarantees of the service hold outside of the faults that excuse them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,36 +20,36 @@
 use crate::schedule::FaultKind;
 use crate::schedule::PLANNED;
 
-/// Times within which what is promised comes about, while nothing else goes wrong.
+/// Time bounds of the guarantees, while no other fault is active.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// From a server's word that it leaves to the last request that reaches it.
+    /// From the notice that a server leaves to the last request that reaches it.
     pub drain: Duration,
-    /// From a configuration's acceptance until it is in force.
+    /// From the acceptance of a configuration until it is in force.
     pub configuration: Duration,
-    /// From a caller's leaving until its server knows.
+    /// From the disconnect of a caller until its server detects it.
     pub close: Duration,
-    /// From a gateway's end until callers are not given it any more.
+    /// From the end of a gateway until no list for callers contains it.
     pub listed: Duration,
-    /// From the word to stop until the process has ended.
+    /// From `SIGTERM` until the process has exited.
     pub stop: Duration,
-    /// Until all gateways serve after the last trouble.
+    /// From the last fault until all gateways serve.
     pub recovery: Duration,
-    /// From the third crash under a request until all gateways know.
+    /// From the third crash under a request until all gateways have received its report.
     pub propagation: Duration,
-    /// From a crash until a request that was beginning there is held back no more.
+    /// From a crash until a request that was starting there is no longer held back.
     pub held_back: Duration,
-    /// From a server's asking for rest to the last request that reaches it.
+    /// From the back-off notice of a server to the last request that reaches it.
     pub back_off: Duration,
-    /// From a server's first naming of a limit until it holds.
+    /// From the first advertisement of a limit until it holds.
     pub limit: Duration,
 }
 
 impl Default for Bounds {
-    /// The users' bounds are 2 s for drains and configurations and half a second for closes; a gateway
-    /// that is silent is given out for 3 s, and for as long as news take to spread (2.4 s) by whoever
-    /// heard of it last. A stop has 8 s. What crosses the word for a rest has half a second. The others are
-    /// for a busy machine.
+    /// The service requires 2 s for drains and configurations and 0.5 s for closes. A gateway that
+    /// sends no heartbeats is listed for 3 s, plus the time that gossip needs (2.4 s) at the
+    /// gateway that received its record last. A stop may take 8 s. Requests may cross a back-off
+    /// notice for 0.5 s. The other bounds allow for a busy machine.
     fn default() -> Self {
         Bounds {
             drain: Duration::from_secs(3),
@@ -65,7 +67,7 @@
 }
 
 impl Bounds {
-    /// All of them `times` as long, for machines on which little is to be had.
+    /// Multiplies the default bounds by `factor`, for slow or busy machines.
     pub fn scaled(factor: u32) -> Bounds {
         let Bounds { drain, configuration, close, listed, stop, recovery, .. } = Bounds::default();
         let Bounds { propagation, held_back, back_off, limit, .. } = Bounds::default();
@@ -79,17 +81,18 @@
             propagation: propagation * factor,
             held_back: held_back * factor,
             back_off: back_off * factor,
-            // Limits are named for some seconds: nothing would be due.
+            // Limits are advertised for a few seconds: a longer bound would prevent all checks.
             limit: limit * factor.min(1),
         }
     }
 }
 
-/// What may go on while a request that crashes servers is judged: it does not touch gateways or what they hear.
+/// Faults during which crashing requests are checked: they affect neither gateways nor the messages
+/// that gateways receive.
 const ALLOWED_FOR_CRASHES: [FaultKind; 4] =
     [FaultKind::HangUp, FaultKind::ServerDrain, FaultKind::ServerCrash, FaultKind::CrashingRequest];
 
-/// What may go on while what a server asked is judged: it holds up no answer, and no gateway.
+/// Faults during which notices of servers are checked: they delay no answer and no gateway.
 const ALLOWED_FOR_NOTICES: [FaultKind; 18] = [
     FaultKind::HangUp,
     FaultKind::StoreBusy,
@@ -111,62 +114,63 @@
     FaultKind::ServerNamesLimit,
 ];
 
-/// The same while limits are judged: gateways that begin or end are no excuse for the others.
+/// Further ones for limits: the start or end of a gateway does not excuse other gateways.
 const ALLOWED_FOR_LIMITS: [FaultKind; 4] =
     [FaultKind::Kill, FaultKind::Off, FaultKind::KillAll, FaultKind::Stop];
 
-/// Time after a trouble in which time-bounded promises are not judged: what it broke is found out by
-/// time-outs of up to three seconds.
+/// Time after a fault in which time-bounded guarantees are not checked: timeouts of up to 3 s
+/// detect its effects.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Troubles in which servers crash.
+/// Faults in which servers crash.
 const CRASH_FAULTS: [FaultKind; 2] = [FaultKind::ServerCrash, FaultKind::CrashingRequest];
 
-/// What is promised.
+/// A guarantee of the service.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Guarantee {
-    /// A request that must not be repeated runs at most once.
+    /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// A refusal is true: the request did not run and never will.
+    /// A request refused as not run has not run and will not run.
     NotRun,
-    /// An answer is whole and the caller's own.
+    /// An answer is complete and belongs to the request of the caller.
     OwnAnswer,
-    /// Servers run only what callers asked.
+    /// Servers receive only requests that callers sent.
     Asked,
-    /// A server that leaves gets no new work.
+    /// A leaving server gets no new requests.
     Drain,
-    /// A server that asked a gateway for rest gets nothing from it meanwhile.
+    /// A server that asked a gateway for a back-off gets no requests from it meanwhile.
     Rest,
-    /// A server gets no more from all gateways together than it said that it takes.
+    /// All gateways together send a server no more requests than its advertised limit.
     Limit,
-    /// A server that told a gateway that it leaves gets no new work from it.
+    /// A server that announced to a gateway that it leaves gets no new requests from it.
     Parting,
-    /// A configuration is in force in time, and never an older one again.
+    /// A configuration is in force in time, and no older one is in force after it.
     Configuration,
-    /// Callers are not given gateways that are long off.
+    /// Lists for callers do not contain gateways that have been down for long.
     Named,
-    /// A caller that has left is noticed through to the server.
+    /// The disconnect of a caller reaches the server that runs its request.
     Close,
-    /// While nothing goes wrong, and in planned stops, requests are answered.
+    /// Requests are answered while no fault is active, and during planned stops.
     Answered,
-    /// A process that is told to stop ends in time, and well.
+    /// A process exits in time and with success after `SIGTERM`.
     Stop,
-    /// Repeats stay within the operators' bound.
+    /// Retries stay within the bound set by the operator.
     Repeats,
-    /// A request that crashes servers is sent to no more of them once that is known, and no other is taken for it.
+    /// A request known to crash servers is sent to no more servers, and no other request is refused
+    /// as one.
     Crashing,
-    /// All serve again after the last trouble.
+    /// All gateways serve again after the last fault.
     Recovery,
 }
 
-/// A promise that was not kept.
+/// A violated guarantee.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which one.
+    /// The guarantee.
     pub guarantee: Guarantee,
-    /// From the start of traffic.
+    /// Time since the start of the traffic.
     pub at: Duration,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -176,114 +180,114 @@
     }
 }
 
-/// What became of a request, as its caller sees it.
+/// Outcome of a request as observed by its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The caller waits.
+    /// The caller waits for the answer.
     Pending,
-    /// A whole success.
+    /// A complete successful answer.
     Answered,
-    /// It did not run and never will.
+    /// Refused: it did not run and will not run.
     NotRun,
-    /// A failure that promises nothing, or a connection that closed.
+    /// Unknown: an error that guarantees nothing, or a closed connection.
     Open,
-    /// The caller has gone.
+    /// The caller disconnected at this time.
     Left(Instant),
 }
 
-/// A request as its caller knows it.
+/// A request as known to its caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// When it was sent.
     pub sent_at: Instant,
-    /// What became of it.
+    /// Its outcome.
     pub verdict: Verdict,
 }
 
-/// A bound on repeats.
+/// A bound on retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBound {
-    /// Part of the requests.
+    /// Fraction of the requests that may be retried.
     pub ratio: f64,
-    /// Beyond that part, so many.
+    /// Retries allowed in addition.
     pub slack: u32,
-    /// In a window of this length.
+    /// Length of the window that both apply to.
     pub window: Duration,
 }
 
-/// The bound that gateways are given.
+/// The bound in the settings of the gateways.
 pub const RETRY_BOUND: RetryBound =
     RetryBound { ratio: 0.2, slack: 20, window: Duration::from_secs(10) };
 
-/// A server that was there.
+/// A server whose arrivals are checked.
 struct WatchedServer {
     server: Server,
-    /// How much of what reached it was looked at.
+    /// Number of arrivals checked so far.
     checked: usize,
-    /// Since when it leaves, if it does.
+    /// When it began to leave.
     leaving_since: Option<Instant>,
 }
 
-/// One life of a gateway, by its number.
+/// One process of a gateway.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct GatewayIncarnation {
-    /// The gateway.
+    /// Index of the gateway.
     pub index: usize,
-    /// How often it had begun.
+    /// Number of processes started for the gateway up to this one.
     pub incarnation: u32,
 }
 
-/// What a server asked of a gateway.
+/// A notice of a server that a gateway received.
 #[derive(Clone, Debug)]
 struct Notice {
     server: String,
     gateway: GatewayIncarnation,
     at: Instant,
-    /// When its rest ends; `None` if it leaves.
+    /// End of the back-off; `None` if the server leaves.
     until: Option<Instant>,
 }
 
-/// What became of a request that crashes servers.
+/// Arrivals of a request that crashes servers.
 #[derive(Clone, Copy, Debug, Default)]
 struct CrashState {
     crashes: u32,
-    /// When a server crashed under it for the third time.
+    /// When it crashed a server for the third time.
     threshold_at: Option<Instant>,
-    /// How often it reached servers when all gateways had had time to know.
+    /// Arrivals at servers after all gateways had time to receive the crashes.
     late_arrivals: u32,
 }
 
-/// Crashes that tell, and times that it may reach servers later; the users' rule.
+/// Crashes that identify a crashing request, and arrivals allowed later; required of the service.
 const CRASH_THRESHOLD: u32 = 3;
 const MAX_LATE_ARRIVALS: u32 = 3;
 
-/// Everything that was seen.
+/// All observations of a run.
 pub struct Ledger {
     start: Instant,
-    /// When what is promised is due.
+    /// Time bounds of the guarantees.
     pub bounds: Bounds,
     requests: RefCell<HashMap<String, Request>>,
     runs: RefCell<HashMap<String, u32>>,
     servers: RefCell<Vec<WatchedServer>>,
     faults: RefCell<Vec<(FaultKind, Instant, Instant)>>,
     violations: RefCell<Vec<Violation>>,
-    /// Of the promises that depend on time, how often each was due.
+    /// How often each time-bounded guarantee was checked.
     check_counts: RefCell<BTreeMap<Guarantee, u32>>,
     reported_disconnects: RefCell<HashSet<String>>,
-    /// Bodies under which servers crash, with what reached servers.
+    /// Request bodies that crash servers, with their arrivals.
     crashing: RefCell<HashMap<String, CrashState>>,
-    /// The gateway that each request was sent to.
+    /// The gateway process that each request was sent to.
     gateways: RefCell<HashMap<String, GatewayIncarnation>>,
     notices: RefCell<Vec<Notice>>,
     limits: RefCell<AdvertisedLimits>,
-    /// Requests that reached servers again after their first time.
+    /// Runs of requests after their first run.
     pub retries: Cell<u32>,
 }
 
 impl Ledger {
-    /// An empty one; traffic starts now.
+    /// Creates an empty ledger; traffic starts now.
     pub fn new(bounds: Bounds) -> Ledger {
         Ledger {
             start: Instant::now(),
@@ -303,46 +307,47 @@
         }
     }
 
-    /// A promise was not kept.
+    /// Records a violation.
     pub fn report(&self, guarantee: Guarantee, detail: String) {
         let at = self.start.elapsed();
         self.violations.borrow_mut().push(Violation { guarantee, at, detail });
     }
 
-    /// All that was not kept.
+    /// Returns all violations.
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.borrow().clone()
     }
 
-    /// A promise that depends on time was due.
+    /// Records that a time-bounded guarantee was checked.
     pub fn record_check(&self, guarantee: Guarantee) {
         *self.check_counts.borrow_mut().entry(guarantee).or_default() += 1;
     }
 
-    /// How often each promise that depends on time was due.
+    /// Returns how often each time-bounded guarantee was checked.
     pub fn check_counts(&self) -> BTreeMap<Guarantee, u32> {
         self.check_counts.borrow().clone()
     }
 
-    /// How many requests were sent, and how many were answered.
+    /// Returns how many requests were sent, and how many were answered.
     pub fn request_counts(&self) -> (usize, usize) {
         let requests = self.requests.borrow();
         let answered = requests.values().filter(|one| one.verdict == Verdict::Answered).count();
         (requests.len(), answered)
     }
 
-    /// A trouble goes on until a moment.
+    /// Records a fault and its period.
     pub fn record_fault(&self, kind: FaultKind, from: Instant, until: Instant) {
         self.faults.borrow_mut().push((kind, from, until));
     }
 
-    /// Whether nothing but planned work went on from a moment to now, and had for a while before.
+    /// Whether only planned operations occurred from shortly before `from` until now.
     pub fn no_faults_since(&self, from: Instant) -> bool {
         self.no_faults_but(&PLANNED, from)
     }
 
-    /// The same for what the store took at a moment: that it loses what all have heard is no excuse, nor is a drill that
-    /// was over before, once all have got over it.
+    /// The same for a write that the store accepted at `from`. A drill is no excuse if it began
+    /// after all gateways had time to receive the write, or if it ended before `from` and gateways
+    /// had time to recover from it.
     pub fn no_faults_but_drills_since(&self, from: Instant) -> bool {
         let (now, applied_by) = (Instant::now(), from + self.bounds.configuration);
         let faults = self.faults.borrow();
@@ -360,7 +365,7 @@
         others.all(|(_, _, until)| *until + SETTLE_TIME < from)
     }
 
-    /// Whether a server crashed in the time for which requests may be held back for that.
+    /// Whether a server crashed within the time for which a crash may hold back requests.
     pub fn has_recent_crash(&self) -> bool {
         let now = Instant::now();
         let faults = self.faults.borrow();
@@ -368,7 +373,7 @@
         crash_faults.any(|(_, _, until)| *until + self.bounds.held_back > now)
     }
 
-    /// Servers crash under requests with this body.
+    /// Records a request body that crashes servers.
     pub fn add_crashing_body(&self, body: &str) {
         self.crashing.borrow_mut().insert(body.to_owned(), CrashState::default());
     }
@@ -387,20 +392,22 @@
         let known = state.threshold_at.is_some_and(|at| arrived.at > at + self.bounds.propagation);
         state.late_arrivals += u32::from(known && quiet);
         if known && quiet && state.late_arrivals > MAX_LATE_ARRIVALS {
-            let detail =
-                format!("{} was sent {}, {} ended in all", server.id, arrived.body, state.crashes);
+            let detail = format!(
+                "{} was sent {}, {} crashes in all",
+                server.id, arrived.body, state.crashes
+            );
             drop(crashing);
             self.report(Guarantee::Crashing, detail);
         }
     }
 
-    /// A server has come.
+    /// Adds a server whose arrivals are checked.
     pub fn watch_server(&self, server: &Server) {
         let watched = WatchedServer { server: server.clone(), checked: 0, leaving_since: None };
         self.servers.borrow_mut().push(watched);
     }
 
-    /// A server has said that it leaves, and the store has taken that.
+    /// Records that a server leaves, which is now stored.
     pub fn mark_leaving(&self, id: &str) {
         let mut servers = self.servers.borrow_mut();
         if let Some(watched) = servers.iter_mut().find(|watched| watched.server.id == id) {
@@ -408,18 +415,18 @@
         }
     }
 
-    /// A caller sends a request.
+    /// Records a request that a caller sends.
     pub fn record_request(&self, id: &str, repeatable: bool) {
         let request = Request { repeatable, sent_at: Instant::now(), verdict: Verdict::Pending };
         self.requests.borrow_mut().insert(id.to_owned(), request);
     }
 
-    /// It is sent to this gateway.
+    /// Records the gateway that a request is sent to.
     pub fn record_gateway(&self, id: &str, gateway: GatewayIncarnation) {
         self.gateways.borrow_mut().insert(id.to_owned(), gateway);
     }
 
-    /// Judges whether a server had asked the gateway not to send a request, then keeps what it asks now.
+    /// Checks an arrival against earlier notices to its gateway, then records new notices.
     fn check_notices(&self, server: &Server, arrived: &Arrived, request: Request) {
         let Some(gateway) = self.gateways.borrow().get(arrived.id()).copied() else { return };
         let id = arrived.id();
@@ -436,11 +443,11 @@
             };
             if self.no_faults_but(&ALLOWED_FOR_NOTICES, at) {
                 let after = arrived.at.duration_since(at);
-                let detail = format!("{} was sent {id} {after:?} after it had asked", server.id);
+                let detail = format!("{} was sent {id} {after:?} after its notice", server.id);
                 self.report(violated, detail);
             }
         }
-        // Read apart from the product; what is no time is no rest.
+        // Parsed independently of the gateway code; an invalid time is no back-off.
         let back_off_s = arrived.asked_rest.as_deref().and_then(|text| text.parse::<f64>().ok());
         let record = |guarantee, until| {
             if self.no_faults_but(&ALLOWED_FOR_NOTICES, arrived.at) {
@@ -457,7 +464,7 @@
         }
     }
 
-    /// Judges whether a server got more than it takes.
+    /// Checks whether an arrival exceeds the advertised limit.
     fn check_limit(&self, server: &Server, arrived: &Arrived) {
         let Some(gateway) = self.gateways.borrow().get(arrived.id()).copied() else { return };
         let Bounds { limit, back_off, .. } = self.bounds;
@@ -473,18 +480,18 @@
         }
     }
 
-    /// What became of it.
+    /// Records the outcome of a request.
     pub fn record_verdict(&self, id: &str, verdict: Verdict) {
         if let Some(request) = self.requests.borrow_mut().get_mut(id) {
             request.verdict = verdict;
         }
         let ran = self.runs.borrow().get(id).copied().unwrap_or_default();
         if verdict == Verdict::NotRun && ran > 0 {
-            self.report(Guarantee::NotRun, format!("{id} was refused as not run, and ran"));
+            self.report(Guarantee::NotRun, format!("{id} was refused as not run, but ran"));
         }
     }
 
-    /// Looks at what has reached servers since the last look.
+    /// Checks what has reached servers since the last call.
     pub fn poll(&self) {
         let mut servers = self.servers.borrow_mut();
         for WatchedServer { server, checked, leaving_since } in servers.iter_mut() {
@@ -500,7 +507,7 @@
 
     fn check_arrival(&self, server: &Server, arrived: &Arrived, leaving_since: Option<Instant>) {
         let id = arrived.id();
-        // A look at its health, or at its engine.
+        // A health check, or a call to the engine.
         if id.is_empty() {
             return;
         }
@@ -513,7 +520,7 @@
             && self.no_faults_since(since)
         {
             let late = arrived.at.duration_since(since);
-            self.report(Guarantee::Drain, format!("{} was sent {id} {late:?} after", server.id));
+            self.report(Guarantee::Drain, format!("{} was sent {id} {late:?} late", server.id));
         }
         if let Verdict::Left(at) = request.verdict
             && arrived.at > at + self.bounds.close
@@ -521,7 +528,7 @@
         {
             self.report(
                 Guarantee::Close,
-                format!("{id} reached {} after its caller left", server.id),
+                format!("{id} reached {} after its caller disconnected", server.id),
             );
         }
         self.check_crashing(server, arrived);
@@ -541,7 +548,7 @@
             self.report(Guarantee::AtMostOnce, format!("{id} ran {runs} times"));
         }
         if request.verdict == Verdict::NotRun {
-            self.report(Guarantee::NotRun, format!("{id} was refused as not run, and ran later"));
+            self.report(Guarantee::NotRun, format!("{id} was refused as not run, but ran later"));
         }
     }
 
@@ -550,12 +557,12 @@
         let Some(Verdict::Left(at)) = request.map(|request| request.verdict) else { return };
         let is_due = at.elapsed() > self.bounds.close && self.no_faults_since(at);
         if is_due && self.reported_disconnects.borrow_mut().insert(arrived.id().to_owned()) {
-            let detail = format!("{} still runs {}, whose caller left", server.id, arrived.id());
+            let detail = format!("{} still runs {} without a caller", server.id, arrived.id());
             self.report(Guarantee::Close, detail);
         }
     }
 
-    /// Looks at repeats in every window, once all is over.
+    /// Checks the number of retries in each window, at the end of the run.
     pub fn check_retries(&self) {
         let RetryBound { ratio, slack, window } = RETRY_BOUND;
         let mut sent: Vec<Instant> =
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,23 +1,27 @@
-//! A soak: real gateway processes over loopback, before stand-ins for the users' platform, while faults
-//! of many kinds overlap. What is promised is checked from what callers and backend servers see.
+//! Soak test: real gateway processes serve generated requests on loopback while faults overlap.
+//! Input: a seed, a run configuration and kinds of faults. State: the requests sent and those that
+//! backend servers received. Decides which guarantees of the service were violated.
+//!
+//! The store and the backend servers are stand-ins for the users' platform:
 //!
 //! ```text
 //! callers ──HTTP──> gateways (processes) ──proxies──> backend servers (stand-ins)
 //!                        └──────proxies──────> store (stand-in)
 //! ```
 //!
-//! - [`schedule`]: which troubles come when, drawn from a seed.
-//! - [`fleet`]: the gateways, and signals to them; it ends only what it started.
-//! - [`site`]: the store and the servers, and what goes wrong with them.
-//! - [`ways`]: what goes wrong between the gateways and those.
-//! - [`callers`]: who asks, waits, leaves and asks again.
-//! - [`ledger`]: what was told to callers, what servers ran, and the promises between the two.
-//! - [`limits`]: how much servers say that they take, and what they get.
+//! - [`schedule`]: which faults occur when, drawn from a seed.
+//! - [`fleet`]: the gateway processes and signals to them; it stops only processes that it started.
+//! - [`backends`]: the store and the backend servers, and their faults.
+//! - [`network`]: faults of the connections between gateways and these.
+//! - [`callers`]: the clients that send requests, wait, disconnect and retry.
+//! - [`ledger`]: the answers to callers, the requests that servers ran, and the checks of the
+//!   guarantees.
+//! - [`limits`]: the rates that servers advertise as their limits, and the rates that they receive.
 //! - [`run`]: one run of one seed.
-//! - [`shrink`]: the fewest troubles with which a seed still fails.
+//! - [`shrink`]: the fewest faults with which a seed still fails.
 //!
-//! Troubles are the same for a seed on every run; how processes are scheduled is not, so that a seed
-//! that fails once may need several runs to fail again.
+//! A seed draws the same faults on every run. The scheduling of processes differs between runs, so
+//! that a seed that fails once may need several runs to fail again.
 
 pub mod backends;
 pub mod callers;
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -1,4 +1,6 @@
-//! What servers name as their limits, and what reaches them meanwhile from gateways that were told.
+//! Limits that servers advertise, and the requests that reach the servers despite them.
+//! Input: arrivals at servers. State: the limit and the recent arrivals of each server.
+//! Decides whether an arrival exceeds the advertised limit.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,42 +11,44 @@
 
 use crate::ledger::GatewayIncarnation;
 
-/// The users' rule: in some window so many times what the limit allows, and some more.
+/// Requirement of the service: within a window, at most the requests that the limit allows times a
+/// ratio, plus a constant excess.
 const WINDOW: Duration = Duration::from_secs(4);
 const ALLOWED_RATIO: f64 = 1.5;
 const ALLOWED_EXCESS: f64 = 5.0;
 
-/// A limit that a server names, from when it first did.
+/// A limit that a server advertises, since its first advertisement.
 #[derive(Clone, Debug)]
 struct AdvertisedLimit {
     text: String,
     since: Instant,
-    /// When each life of a gateway was first told.
+    /// When each gateway incarnation first received it.
     first_received: HashMap<GatewayIncarnation, Instant>,
-    /// What came from those that had been told, in the last window.
+    /// Arrivals in the last window through gateways that had received it.
     arrivals: VecDeque<Instant>,
 }
 
-/// The limits that servers name.
+/// The limits that servers advertise.
 #[derive(Clone, Debug, Default)]
 pub struct AdvertisedLimits {
     by_server: HashMap<String, AdvertisedLimit>,
 }
 
-/// What a request is, where a limit was named.
+/// Result of the check of an arrival against the limit of its server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitCheck {
-    /// NotCounted counted: nothing was named, or not for long, or its gateway had not been told.
+    /// Not counted: no limit is advertised, or it is too recent, or the gateway had not received
+    /// it in time.
     NotCounted,
     /// Within the limit.
     Within,
-    /// One too many, in a window that began then.
+    /// Above the limit, with the start of the window and a description.
     Exceeded(Instant, String),
 }
 
 impl AdvertisedLimits {
-    /// A request came to a server through a gateway. It counts once the limit has been named for `holds_after`, and its
-    /// gateway was told `told_for` before.
+    /// Checks a request that reached a server through a gateway. It counts once the limit has been
+    /// advertised for `delay`, and the gateway received it at least `propagation_time` before.
     pub fn check(
         &mut self,
         server: &str,
@@ -53,7 +57,7 @@
         delay: Duration,
         propagation_time: Duration,
     ) -> LimitCheck {
-        // Read apart from the product; what is no number is no limit.
+        // Parsed independently of the gateway code; a text that is not a number sets no limit.
         let Some((text, limit)) = parse_limit(arrived) else {
             self.by_server.remove(server);
             return LimitCheck::NotCounted;
@@ -85,7 +89,7 @@
         let window_start = advertised.arrivals.front().copied().unwrap_or(at);
         LimitCheck::Exceeded(
             window_start,
-            format!("{server} named {text} a second and got {count} in 4 s"),
+            format!("{server} advertised {text}/s and got {count} in 4 s"),
         )
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,6 @@
-//! `hooktrestle-soak`: seeds of troubles, run one after the other.
+//! `hooktrestle-soak`: runs soak tests of consecutive seeds, one after the other.
+//! Input: the command-line flags. State: the number of seeds that failed.
+//! Decides the exit code: failure if a guarantee was violated with one of the seeds.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,7 +19,7 @@
 use hooktrestle_soak::schedule::FaultKind;
 use hooktrestle_soak::shrink::shrink;
 
-/// Most runs that shrinking a seed may take.
+/// Maximum number of runs to shrink the faults of one seed.
 const MAX_SHRINK_RUNS: usize = 24;
 
 mod flags {
@@ -25,34 +27,35 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs real gateways under overlapping faults, and checks what is promised while they run.
-        /// Exits with 1 if a promise was not kept.
+        /// Runs real gateways under overlapping faults and checks the guarantees of the service.
+        /// Exits with 1 if a guarantee was violated.
         cmd hooktrestle-soak {
-            /// First seed; 1 if left out. A seed draws the same troubles on every run.
+            /// First seed; default 1. A seed draws the same faults on every run.
             optional --seed seed: u64
-            /// How many seeds to run, one after the other; 1 if left out.
+            /// Number of seeds to run, one after the other; default 1.
             optional --seeds count: u64
-            /// Seconds of traffic for a seed; 60 if left out.
+            /// Seconds of traffic for each seed; default 60.
             optional --length-s seconds: u64
-            /// Gateways; 3 if left out.
+            /// Number of gateways; default 3.
             optional --gateways count: usize
-            /// Backend servers; 4 if left out.
+            /// Number of backend servers; default 4.
             optional --servers count: usize
-            /// Callers; 12 if left out.
+            /// Number of callers; default 12.
             optional --callers count: usize
-            /// Faults to draw from, by commas; all if left out. `--list-faults` names them.
+            /// Faults to draw from, separated by commas; default all. `--list-faults` lists them.
             optional --faults names: String
-            /// Names the faults.
+            /// Lists the names of the faults.
             optional --list-faults
-            /// How much longer than promised things may take, for busy machines; 1 if left out.
+            /// Factor by which the time bounds are extended on busy machines; default 1.
             optional --stretch times: u32
-            /// The gateway's program; the one beside this program if left out.
+            /// Gateway program; default the one in the folder of this program.
             optional --program file: PathBuf
-            /// Folder for settings and logs of the gateways; one in the folder for temporary files if left out.
+            /// Folder for settings and logs of the gateways; default one in the folder for
+            /// temporary files.
             optional --folder folder: PathBuf
-            /// Prints the troubles of the seeds.
+            /// Prints the faults of each seed.
             optional --troubles
-            /// Finds the fewest troubles with which a seed that fails still does.
+            /// Finds the fewest faults with which a failing seed still fails.
             optional --shrink
         }
     }
@@ -83,7 +86,7 @@
             let fails = |subset: &[Fault]| {
                 run::run(&config, seed, subset).is_ok_and(|report| !report.violations.is_empty())
             };
-            println!("  fails still with:");
+            println!("  still fails with:");
             print_faults(&shrink(&seed_faults, MAX_SHRINK_RUNS, fails));
         }
     }
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -1,4 +1,6 @@
-//! What goes wrong on the way from a gateway to the store or to a server.
+//! Network faults: delays, blocks and resets on the proxies in front of the store and the servers.
+//! Input: a proxy, the kind of fault and its duration. State: none of its own.
+//! Decides which state of the proxy represents the fault.
 
 use std::time::Duration;
 
@@ -8,10 +10,10 @@
 
 use crate::schedule::FaultKind;
 
-/// How much later all comes on a way that is slow: many times a usual way between data centres.
+/// Added delay of a slow connection: many times the usual delay between data centres.
 const SLOW: Duration = Duration::from_millis(80);
 
-/// A trouble of a way, until it is over.
+/// Injects a fault into the connections of a proxy, and waits until the fault has ended.
 pub async fn inject(proxy: &Proxy, kind: FaultKind, duration: Duration) {
     let state = match kind {
         FaultKind::StoreMute | FaultKind::ServerMute => return proxy.mute(),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,6 @@
-//! One run of one seed.
+//! One soak run: starts stand-ins, gateways and callers, injects faults and collects violations.
+//! Input: a run configuration, a seed and its faults. State: all parts of the running system.
+//! Decides when faults begin, when the configuration changes and when the run ends.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -31,46 +33,48 @@
 use crate::schedule::Fault;
 use crate::schedule::FaultKind;
 
-/// Time between two changes of the configuration.
+/// Time between two changes of the configuration in the store.
 const CONFIGURATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between two looks at what servers saw.
+/// Time between two checks of what servers received.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks at whether the run's own thread, on which callers, servers and the store are, is late.
+/// Time between two measurements of the delay of the test thread, which runs the callers, the
+/// servers and the store.
 const LATENESS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a run is made of.
+/// Configuration of a run.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The gateway's program.
+    /// The gateway program.
     pub program: PathBuf,
-    /// Folder for settings and logs.
+    /// Folder for settings and logs of the gateways.
     pub folder: PathBuf,
-    /// Length of the traffic.
+    /// Duration of the traffic.
     pub length: Duration,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// When what is promised is due.
+    /// Time bounds of the guarantees.
     pub bounds: Bounds,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Promises that were not kept.
+    /// Violations of guarantees.
     pub violations: Vec<Violation>,
-    /// Requests, and how many of them were answered.
+    /// Number of requests, and how many of them were answered.
     pub request_counts: (usize, usize),
-    /// Requests that ran again.
+    /// Runs of requests after their first run.
     pub retries: u32,
-    /// How often each promise that depends on time was due.
+    /// How often each time-bounded guarantee was checked.
     pub check_counts: BTreeMap<Guarantee, u32>,
-    /// When the run's own thread was latest, and by how much: it answers nobody meanwhile.
+    /// Time and length of the longest delay of the test thread: callers, servers and the store do
+    /// not respond during it.
     pub max_lateness: (Duration, Duration),
 }
 
@@ -79,10 +83,10 @@
         let (sent, answered) = self.request_counts;
         write!(formatter, "{answered} of {sent} requests answered, {} ran again", self.retries)?;
         for (guarantee, times) in &self.check_counts {
-            write!(formatter, ", {guarantee:?} due {times}")?;
+            write!(formatter, ", {guarantee:?} checked {times} times")?;
         }
         let (at, by) = self.max_lateness;
-        write!(formatter, ", own thread late by {by:.1?} at {at:.1?}")?;
+        write!(formatter, ", test thread late by up to {by:.1?} at {at:.1?}")?;
         for violation in &self.violations {
             write!(formatter, "\n  violation: {violation}")?;
         }
@@ -90,7 +94,7 @@
     }
 }
 
-/// Runs these troubles.
+/// Runs the gateways under these faults.
 ///
 /// # Errors
 ///
@@ -144,7 +148,7 @@
     })
 }
 
-/// Keeps when the run's own thread was latest.
+/// Records the longest delay of the test thread.
 async fn track_lateness(start: Instant, latest: Rc<Cell<(Duration, Duration)>>) {
     loop {
         let due = Instant::now() + LATENESS_INTERVAL;
@@ -156,7 +160,7 @@
     }
 }
 
-/// Begins each trouble at its time; they overlap.
+/// Starts each fault at its time, without waiting for the end of earlier ones.
 async fn inject_faults(context: Rc<RunContext>, start: Instant, faults: Vec<Fault>) {
     for fault in faults {
         time::sleep_until(start + fault.at).await;
@@ -175,22 +179,22 @@
     }
 }
 
-/// How long a trouble goes on.
+/// Time for which a fault counts as active in the ledger.
 fn effect_duration(fault: &Fault) -> Duration {
     match fault.kind {
-        // Until the row has gone and another server has come.
+        // Until the row is removed and another server is registered.
         FaultKind::ServerCrash => fault.duration + Duration::from_secs(2),
-        // Until the servers that crashed last have been replaced.
+        // Until the servers that crashed last are replaced.
         FaultKind::CrashingRequest => fault.duration + Duration::from_secs(4),
-        // The others get over it.
+        // The other gateways recover while it is off, so that only its start counts.
         FaultKind::Off => Duration::ZERO,
-        // As long as a stop may take.
+        // The maximum duration of a stop.
         FaultKind::Stop => Duration::from_secs(9),
         _ => fault.duration,
     }
 }
 
-/// Waits until every gateway serves.
+/// Waits until every gateway reports that it is ready.
 async fn wait_until_ready(context: &RunContext) {
     let client = Client::new();
     let end = Instant::now() + context.ledger.bounds.recovery;
@@ -198,7 +202,7 @@
         while !caller::is_ready(&client, gateway.at.readiness).await {
             context.fleet.restart_exited();
             if Instant::now() > end {
-                let detail = format!("{} is not ready", gateway.name);
+                let detail = format!("{} did not become ready in time", gateway.name);
                 context.ledger.report(Guarantee::Recovery, detail);
                 return;
             }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,6 @@
-//! Which troubles come when: drawn from a seed, overlapping.
+//! Fault schedule: draws overlapping faults and planned operations from a seed.
+//! Input: a seed, the duration of the traffic and the kinds of faults. State: none.
+//! Decides the time, kind, duration and target of each fault.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -9,78 +11,79 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// What goes wrong, or is planned.
+/// A kind of fault or planned operation.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum FaultKind {
-    /// A gateway is killed, and started again when it is over.
+    /// A gateway is killed, and started again at the end of the fault.
     Kill,
-    /// A gateway is killed, and off for longer than others remember it.
+    /// A gateway is killed, and stays off for longer than other gateways keep its record.
     Off,
     /// All gateways are killed at once, and started again.
     KillAll,
-    /// A gateway stands still.
+    /// A gateway process is suspended.
     Pause,
-    /// A gateway is told to stop, and started again once it has.
+    /// A gateway receives `SIGTERM`, and is started again when it has exited.
     Stop,
-    /// A gateway is told that its settings have changed.
+    /// A gateway receives `SIGHUP`, which announces changed settings.
     HangUp,
-    /// The store refuses.
+    /// The store refuses all calls.
     StoreBusy,
-    /// The store takes calls and says nothing.
+    /// The store accepts calls and does not respond.
     StoreSilent,
-    /// The store does what it is told and loses the answers.
+    /// The store executes calls and loses the responses.
     StoreLosesAnswers,
-    /// The store turns one gateway away.
+    /// The store refuses the calls of one gateway.
     StoreTurnsAway,
-    /// The store forgets its history.
+    /// The store loses its change history.
     StoreForgets,
-    /// The store is away for a moment, and comes back from a copy some seconds old.
+    /// The store is unavailable for a moment, and returns with a snapshot some seconds old.
     StoreDrill,
-    /// Connections of a gateway to the store go silent for good; new ones work.
+    /// Open connections of a gateway to the store stop passing data and stay open; new ones work.
     StoreMute,
-    /// Connections of a gateway to the store are reset.
+    /// Open connections of a gateway to the store are reset.
     StoreReset,
-    /// The way of a gateway to the store is slow.
+    /// Connections of a gateway to the store are slow.
     StoreSlow,
-    /// What a gateway sends to the store is held up.
+    /// Data from a gateway to the store is held back.
     StoreHoldsRequests,
-    /// What the store sends to a gateway is held up.
+    /// Data from the store to a gateway is held back.
     StoreHoldsAnswers,
-    /// Connections to a server go silent for good; new ones work.
+    /// Open connections to a server stop passing data and stay open; new ones work.
     ServerMute,
-    /// Connections to a server are reset.
+    /// Open connections to a server are reset.
     ServerReset,
-    /// The way to a server is slow.
+    /// Connections to a server are slow.
     ServerSlow,
-    /// What is sent to a server is held up.
+    /// Data to a server is held back.
     ServerHoldsRequests,
-    /// What a server sends is held up.
+    /// Data from a server is held back.
     ServerHoldsAnswers,
-    /// A server crashes; another comes when it is over.
+    /// A server crashes; another one replaces it at the end of the fault.
     ServerCrash,
-    /// A server says that it leaves, and another comes.
+    /// The row of a server marks it as leaving, and another server replaces it.
     ServerDrain,
-    /// A server refuses what it is sent.
+    /// A server refuses requests.
     ServerRefuses,
-    /// A server fails what it is sent.
+    /// A server fails requests.
     ServerFails,
-    /// A server runs what it is sent, and loses the answers.
+    /// A server runs requests, and loses the answers.
     ServerLosesAnswers,
-    /// A server answers twice.
+    /// A server answers a request twice.
     ServerAnswersTwice,
-    /// A server's answers lack their signature.
+    /// The answers of a server lack their signature.
     ServerForges,
-    /// A request that crashes each server which runs it comes again and again.
+    /// A request that crashes each server that runs it is sent repeatedly.
     CrashingRequest,
-    /// A server turns away what it is sent, and asks for rest.
+    /// A server refuses requests, and asks for a back-off.
     ServerAsksRest,
-    /// A server says in its answers that it leaves, and the list does not; another comes.
+    /// A server announces in its answers that it is leaving, and its row does not show it; another
+    /// server replaces it.
     ServerSaysItLeaves,
-    /// A server names in its answers how many requests a second it takes.
+    /// A server advertises in its answers a limit of requests per second.
     ServerNamesLimit,
 }
 
-/// All kinds, with the names by which they are chosen.
+/// All kinds, with their names for `--faults`.
 pub const FAULT_KINDS: [(&str, FaultKind); 33] = [
     ("kill", FaultKind::Kill),
     ("off", FaultKind::Off),
@@ -136,16 +139,16 @@
     }
 }
 
-/// A trouble: what, whom, when.
+/// A fault with its time and target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// When it begins, from the start of traffic.
+    /// Time of its start, from the start of the traffic.
     pub at: Duration,
-    /// How long it lasts, where it lasts.
+    /// How long it is active; kinds that act once ignore it.
     pub duration: Duration,
-    /// What it is.
+    /// What happens.
     pub kind: FaultKind,
-    /// Whom it strikes: of all that fit, the one with this number, counted round.
+    /// Selects the gateway or server affected: this number modulo the number of candidates.
     pub target: usize,
 }
 
@@ -156,28 +159,30 @@
     }
 }
 
-/// Mean time between two troubles: with those that last for two seconds, one or two go on at a time.
+/// Mean time between two faults. With a duration of about 2 s each, one or two are active at a
+/// time.
 const MEAN_GAP_MS: u64 = 1_300;
 
-/// Time at the end without trouble: all shall be served again before it is over.
+/// Fault-free time at the end of the traffic: all gateways must serve again before it ends.
 pub const FAULT_FREE_END: Duration = Duration::from_secs(8);
 
-/// Shortest and longest trouble.
+/// Range of the duration of a fault.
 const DURATION_MS: std::ops::Range<u64> = 300..4_000;
 
-/// One trouble of so many lasts several times as long: others forget and are forgotten meanwhile.
+/// One in this many faults lasts four times as long, so that records held by other processes expire
+/// during it.
 const LONG_ONE_IN: u32 = 8;
 
-/// Length of a spell of troubles, and of the calm after it, in which only planned work goes on: what is
-/// promised within a time is judged there.
+/// Length of a period with faults, and of the quiet period after it, which has planned operations
+/// only. Time-bounded guarantees are checked in quiet periods.
 const FAULT_PERIOD_MS: std::ops::Range<u64> = 5_000..14_000;
 const QUIET_PERIOD_MS: u64 = 12_000;
 
-/// Time from one request that crashes servers to the next, and for which each comes again.
+/// Time between the starts of two crashing requests, and for how long each is sent repeatedly.
 const CRASHING_REQUEST_GAP_MS: std::ops::Range<u64> = 4_000..40_000;
 const CRASHING_REQUEST_DURATION_MS: std::ops::Range<u64> = 6_000..20_000;
 
-/// Planned work, and what servers ask: no excuse for anything.
+/// Planned operations, and notices of servers: all guarantees hold during them.
 pub const PLANNED: [FaultKind; 6] = [
     FaultKind::Stop,
     FaultKind::HangUp,
@@ -187,7 +192,8 @@
     FaultKind::ServerNamesLimit,
 ];
 
-/// Kinds that are drawn apart: without them, a seed's troubles are the same.
+/// Kinds that are drawn from random generators of their own, so that the other faults of a seed are
+/// the same with and without them.
 const SEPARATELY_DRAWN: [FaultKind; 5] = [
     FaultKind::CrashingRequest,
     FaultKind::ServerAsksRest,
@@ -196,21 +202,21 @@
     FaultKind::StoreDrill,
 ];
 
-/// Time from one drill to the next; one of so many is followed by another after the shorter time.
+/// Time between two drills; one in so many is followed by the next after the shorter time.
 const DRILL_GAP_MS: std::ops::Range<u64> = 8_000..20_000;
 const SHORT_DRILL_GAP_MS: std::ops::Range<u64> = 200..3_000;
 const SHORT_DRILL_GAP_ONE_IN: u32 = 3;
 
-/// How long the store is away in a drill.
+/// How long the store is unavailable in a drill.
 const DRILL_DURATION_MS: std::ops::Range<u64> = 100..2_500;
 
-/// Time from one trouble in which a server asks something to the next.
+/// Time between the starts of two faults in which a server sends a notice.
 const NOTICE_GAP_MS: std::ops::Range<u64> = 1_000..8_000;
 
-/// How long a gateway is off that others are to forget: they do after a minute.
+/// How long a gateway is off: other gateways remove its record after 60 s.
 const OFF_DURATION: Duration = Duration::from_secs(80);
 
-/// The troubles of a seed, in order.
+/// Returns the faults of a seed, in order of their start.
 pub fn draw(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (separate, kinds): (Vec<FaultKind>, Vec<FaultKind>) =
@@ -225,7 +231,7 @@
         begin = period_end + Duration::from_millis(QUIET_PERIOD_MS);
         draw_period(&mut rng, &planned, period_end..begin.min(end), &mut faults);
     }
-    // It goes on into the calm, where others have got over it.
+    // It continues into quiet periods, after the other gateways have recovered from its loss.
     let is_off = |fault: &&mut Fault| fault.kind == FaultKind::Off;
     faults
         .iter_mut()
@@ -243,12 +249,12 @@
     faults
 }
 
-/// Adds servers that ask something, at any time.
+/// Adds faults of a kind in which servers send notices, at any time.
 fn draw_notices(rng: &mut ChaCha8Rng, kind: FaultKind, end: Duration, faults: &mut Vec<Fault>) {
-    // Those of different kinds do not come at the same moments.
+    // The divisor differs between neighbouring kinds, so that their faults do not start together.
     let mut at = Duration::from_millis(rng.random_range(NOTICE_GAP_MS) / (2 + kind as u64 % 2));
     while at < end {
-        // A limit is judged once it has been named for some seconds.
+        // A limit is checked only after it has been advertised for some seconds.
         let times = if kind == FaultKind::ServerNamesLimit { 4 } else { 1 };
         let duration = Duration::from_millis(rng.random_range(DURATION_MS)) * times;
         let target = rng.random_range(0..1_000);
@@ -257,7 +263,7 @@
     }
 }
 
-/// Adds drills of the store, at any time.
+/// Adds store drills, at any time.
 fn draw_drills(rng: &mut ChaCha8Rng, end: Duration, faults: &mut Vec<Fault>) {
     let mut at = Duration::from_millis(rng.random_range(SHORT_DRILL_GAP_MS));
     while at < end {
@@ -285,7 +291,7 @@
     }
 }
 
-/// Troubles that begin and end in a span.
+/// Adds faults that start and end within a span.
 fn draw_period(
     rng: &mut ChaCha8Rng,
     kinds: &[FaultKind],
--- a/crates/soak/src/shrink.rs
+++ b/crates/soak/src/shrink.rs
@@ -1,9 +1,11 @@
-//! The fewest troubles with which a run still fails.
+//! Shrinks the faults of a failing run.
+//! Input: the faults, and a function that runs a subset of them. State: the remaining faults.
+//! Decides which faults can be left out while the run still fails.
 
 use crate::schedule::Fault;
 
-/// Leaves out ever smaller runs of troubles, as long as what is left `fails`; `tries` bounds how often
-/// that is asked.
+/// Removes blocks of consecutive faults, of decreasing size, as long as the run `fails` with the
+/// remaining ones. `attempts` is the maximum number of calls of `fails`.
 pub fn shrink(
     faults: &[Fault],
     mut attempts: usize,
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -1,4 +1,6 @@
-//! The ledger finds what it is there to find: each kind of broken promise, brought about on purpose.
+//! Guards against a ledger that misses violations or reports false ones. Each test sends requests
+//! straight to a stand-in server, so that they violate one guarantee or none, and checks which
+//! violations the ledger reports.
 
 use std::time::Duration;
 
@@ -20,7 +22,7 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Nothing is allowed any time.
+/// Bounds of zero: a violation is reported without any delay.
 fn zero_bounds() -> Bounds {
     Bounds::scaled(0)
 }
@@ -32,7 +34,7 @@
     server
 }
 
-/// A request that reaches a server.
+/// Sends a request straight to a server.
 async fn send_request(server: &Server, id: &str) {
     let sent = caller::request(&Client::new(), server.address, "/once/0", id, 1_000);
     sent.send().await.unwrap();
@@ -119,8 +121,8 @@
         let server = start_server(&ledger).await;
         server.usually(Act::Hang);
         ledger.record_request("r1", true);
-        let asked = server.clone();
-        let asks = tokio::task::spawn_local(async move { send_request(&asked, "r1").await });
+        let target = server.clone();
+        let asks = tokio::task::spawn_local(async move { send_request(&target, "r1").await });
         while server.unended().is_empty() {
             tokio::task::yield_now().await;
         }
@@ -186,7 +188,7 @@
             ledger.record_gateway(id, gateway);
             send_request(&server, id).await;
         }
-        // One incarnation of one gateway was asked, and sent one more.
+        // Only the first incarnation of the first gateway sends a request after the notice.
         assert_eq!(violated(&ledger), [Guarantee::Rest]);
     });
 }
@@ -215,7 +217,7 @@
         let ledger = Ledger::new(zero_bounds());
         let server = start_server(&ledger).await;
         server.name_limit(Some("0.5"));
-        // 0.5 a second allow 8 in 4 s.
+        // A limit of 0.5/s allows 8 requests in 4 s.
         for number in 0..9 {
             assert_eq!(violated(&ledger), [], "{number}");
             let id = format!("r{number}");
@@ -231,6 +233,6 @@
             ledger.record_gateway(&id, GatewayIncarnation { index: number % 3, incarnation: 1 });
             send_request(&server, &id).await;
         }
-        assert_eq!(violated(&ledger), [Guarantee::Limit], "it names none any more");
+        assert_eq!(violated(&ledger), [Guarantee::Limit], "no limit is advertised any more");
     });
 }
--- a/crates/soak/tests/schedules.rs
+++ b/crates/soak/tests/schedules.rs
@@ -1,4 +1,6 @@
-//! Troubles are the same for a seed, and a failing seed is shrunk to what makes it fail.
+//! Guards against failing seeds that cannot be repeated or reduced. A seed must always draw the
+//! same faults, shrinking must keep the faults that cause the failure, and names must select the
+//! faults.
 
 use std::time::Duration;
 
@@ -31,9 +33,9 @@
 fn a_failing_seed_is_shrunk_to_what_makes_it_fail() {
     let all = draw(3, LENGTH, &FAULT_KINDS.map(|(_, kind)| kind));
     let needed = [all[4], all[11]];
-    let remaining = shrink(&all, 1_000, |some| needed.iter().all(|one| some.contains(one)));
+    let remaining = shrink(&all, 1_000, |subset| needed.iter().all(|one| subset.contains(one)));
     assert_eq!(remaining, needed);
-    assert_eq!(shrink(&all, 0, |_| true), all, "no tries are left");
+    assert_eq!(shrink(&all, 0, |_| true), all, "no attempts are left");
 }
 
 #[test]
