--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,6 @@
-//! Which troubles come when: drawn from a seed, overlapping.
+//! Fault schedule: draws overlapping faults and planned operations from a seed.
+//! Input: a seed, the duration of the traffic and the kinds of faults. State: none.
+//! Decides the time, kind, duration and target of each fault.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -9,286 +11,292 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// What goes wrong, or is planned.
+/// A kind of fault or planned operation.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Kind {
-    /// A gateway is killed, and started again when it is over.
+pub enum FaultKind {
+    /// A gateway is killed, and started again at the end of the fault.
     Kill,
-    /// A gateway is killed, and off for longer than others remember it.
+    /// A gateway is killed, and stays off for longer than other gateways keep its record.
     Off,
     /// All gateways are killed at once, and started again.
     KillAll,
-    /// A gateway stands still.
+    /// A gateway process is suspended.
     Pause,
-    /// A gateway is told to stop, and started again once it has.
+    /// A gateway receives `SIGTERM`, and is started again when it has exited.
     Stop,
-    /// A gateway is told that its settings have changed.
+    /// A gateway receives `SIGHUP`, which announces changed settings.
     HangUp,
-    /// The store refuses.
+    /// The store refuses all calls.
     StoreBusy,
-    /// The store takes calls and says nothing.
+    /// The store accepts calls and does not respond.
     StoreSilent,
-    /// The store does what it is told and loses the answers.
+    /// The store executes calls and loses the responses.
     StoreLosesAnswers,
-    /// The store turns one gateway away.
+    /// The store refuses the calls of one gateway.
     StoreTurnsAway,
-    /// The store forgets its history.
+    /// The store loses its change history.
     StoreForgets,
-    /// The store is away for a moment, and comes back from a copy some seconds old.
+    /// The store is unavailable for a moment, and returns with a snapshot some seconds old.
     StoreDrill,
-    /// Connections of a gateway to the store go silent for good; new ones work.
+    /// Open connections of a gateway to the store stop passing data and stay open; new ones work.
     StoreMute,
-    /// Connections of a gateway to the store are reset.
+    /// Open connections of a gateway to the store are reset.
     StoreReset,
-    /// The way of a gateway to the store is slow.
+    /// Connections of a gateway to the store are slow.
     StoreSlow,
-    /// What a gateway sends to the store is held up.
+    /// Data from a gateway to the store is held back.
     StoreHoldsRequests,
-    /// What the store sends to a gateway is held up.
+    /// Data from the store to a gateway is held back.
     StoreHoldsAnswers,
-    /// Connections to a server go silent for good; new ones work.
+    /// Open connections to a server stop passing data and stay open; new ones work.
     ServerMute,
-    /// Connections to a server are reset.
+    /// Open connections to a server are reset.
     ServerReset,
-    /// The way to a server is slow.
+    /// Connections to a server are slow.
     ServerSlow,
-    /// What is sent to a server is held up.
+    /// Data to a server is held back.
     ServerHoldsRequests,
-    /// What a server sends is held up.
+    /// Data from a server is held back.
     ServerHoldsAnswers,
-    /// A server crashes; another comes when it is over.
+    /// A server crashes; another one replaces it at the end of the fault.
     ServerCrash,
-    /// A server says that it leaves, and another comes.
+    /// The row of a server marks it as leaving, and another server replaces it.
     ServerDrain,
-    /// A server refuses what it is sent.
+    /// A server refuses requests.
     ServerRefuses,
-    /// A server fails what it is sent.
+    /// A server fails requests.
     ServerFails,
-    /// A server runs what it is sent, and loses the answers.
+    /// A server runs requests, and loses the answers.
     ServerLosesAnswers,
-    /// A server answers twice.
+    /// A server answers a request twice.
     ServerAnswersTwice,
-    /// A server's answers lack their signature.
+    /// The answers of a server lack their signature.
     ServerForges,
-    /// A request that crashes each server which runs it comes again and again.
+    /// A request that crashes each server that runs it is sent repeatedly.
     CrashingRequest,
-    /// A server turns away what it is sent, and asks for rest.
+    /// A server refuses requests, and asks for a back-off.
     ServerAsksRest,
-    /// A server says in its answers that it leaves, and the list does not; another comes.
+    /// A server announces in its answers that it is leaving, and its row does not show it; another
+    /// server replaces it.
     ServerSaysItLeaves,
-    /// A server names in its answers how many requests a second it takes.
+    /// A server advertises in its answers a limit of requests per second.
     ServerNamesLimit,
 }
 
-/// All kinds, with the names by which they are chosen.
-pub const KINDS: [(&str, Kind); 33] = [
-    ("kill", Kind::Kill),
-    ("off", Kind::Off),
-    ("kill-all", Kind::KillAll),
-    ("pause", Kind::Pause),
-    ("stop", Kind::Stop),
-    ("hang-up", Kind::HangUp),
-    ("store-busy", Kind::StoreBusy),
-    ("store-silent", Kind::StoreSilent),
-    ("store-loses-answers", Kind::StoreLosesAnswers),
-    ("store-turns-away", Kind::StoreTurnsAway),
-    ("store-forgets", Kind::StoreForgets),
-    ("store-drill", Kind::StoreDrill),
-    ("store-mute", Kind::StoreMute),
-    ("store-reset", Kind::StoreReset),
-    ("store-slow", Kind::StoreSlow),
-    ("store-holds-requests", Kind::StoreHoldsRequests),
-    ("store-holds-answers", Kind::StoreHoldsAnswers),
-    ("server-mute", Kind::ServerMute),
-    ("server-reset", Kind::ServerReset),
-    ("server-slow", Kind::ServerSlow),
-    ("server-holds-requests", Kind::ServerHoldsRequests),
-    ("server-holds-answers", Kind::ServerHoldsAnswers),
-    ("server-crash", Kind::ServerCrash),
-    ("server-drain", Kind::ServerDrain),
-    ("server-refuses", Kind::ServerRefuses),
-    ("server-fails", Kind::ServerFails),
-    ("server-loses-answers", Kind::ServerLosesAnswers),
-    ("server-answers-twice", Kind::ServerAnswersTwice),
-    ("server-forges", Kind::ServerForges),
-    ("crashing-request", Kind::CrashingRequest),
-    ("server-asks-rest", Kind::ServerAsksRest),
-    ("server-says-it-leaves", Kind::ServerSaysItLeaves),
-    ("server-names-limit", Kind::ServerNamesLimit),
+/// All kinds, with their names for `--faults`.
+pub const FAULT_KINDS: [(&str, FaultKind); 33] = [
+    ("kill", FaultKind::Kill),
+    ("off", FaultKind::Off),
+    ("kill-all", FaultKind::KillAll),
+    ("pause", FaultKind::Pause),
+    ("stop", FaultKind::Stop),
+    ("hang-up", FaultKind::HangUp),
+    ("store-busy", FaultKind::StoreBusy),
+    ("store-silent", FaultKind::StoreSilent),
+    ("store-loses-answers", FaultKind::StoreLosesAnswers),
+    ("store-turns-away", FaultKind::StoreTurnsAway),
+    ("store-forgets", FaultKind::StoreForgets),
+    ("store-drill", FaultKind::StoreDrill),
+    ("store-mute", FaultKind::StoreMute),
+    ("store-reset", FaultKind::StoreReset),
+    ("store-slow", FaultKind::StoreSlow),
+    ("store-holds-requests", FaultKind::StoreHoldsRequests),
+    ("store-holds-answers", FaultKind::StoreHoldsAnswers),
+    ("server-mute", FaultKind::ServerMute),
+    ("server-reset", FaultKind::ServerReset),
+    ("server-slow", FaultKind::ServerSlow),
+    ("server-holds-requests", FaultKind::ServerHoldsRequests),
+    ("server-holds-answers", FaultKind::ServerHoldsAnswers),
+    ("server-crash", FaultKind::ServerCrash),
+    ("server-drain", FaultKind::ServerDrain),
+    ("server-refuses", FaultKind::ServerRefuses),
+    ("server-fails", FaultKind::ServerFails),
+    ("server-loses-answers", FaultKind::ServerLosesAnswers),
+    ("server-answers-twice", FaultKind::ServerAnswersTwice),
+    ("server-forges", FaultKind::ServerForges),
+    ("crashing-request", FaultKind::CrashingRequest),
+    ("server-asks-rest", FaultKind::ServerAsksRest),
+    ("server-says-it-leaves", FaultKind::ServerSaysItLeaves),
+    ("server-names-limit", FaultKind::ServerNamesLimit),
 ];
 
-impl Display for Kind {
+impl Display for FaultKind {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let named = KINDS.iter().find(|(_, kind)| kind == self);
+        let named = FAULT_KINDS.iter().find(|(_, kind)| kind == self);
         formatter.write_str(named.map_or("", |(name, _)| name))
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for FaultKind {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Kind, String> {
-        let named = KINDS.iter().find(|(name, _)| *name == text);
+    fn from_str(text: &str) -> Result<FaultKind, String> {
+        let named = FAULT_KINDS.iter().find(|(name, _)| *name == text);
         named.map(|(_, kind)| *kind).ok_or_else(|| {
-            let names: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+            let names: Vec<&str> = FAULT_KINDS.iter().map(|(name, _)| *name).collect();
             format!("`{text}` is no fault; there are {}", names.join(", "))
         })
     }
 }
 
-/// A trouble: what, whom, when.
+/// A fault with its time and target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Trouble {
-    /// When it begins, from the start of traffic.
+pub struct Fault {
+    /// Time of its start, from the start of the traffic.
     pub at: Duration,
-    /// How long it lasts, where it lasts.
-    pub lasts: Duration,
-    /// What it is.
-    pub kind: Kind,
-    /// Whom it strikes: of all that fit, the one with this number, counted round.
+    /// How long it is active; kinds that act once ignore it.
+    pub duration: Duration,
+    /// What happens.
+    pub kind: FaultKind,
+    /// Selects the gateway or server affected: this number modulo the number of candidates.
     pub target: usize,
 }
 
-impl Display for Trouble {
+impl Display for Fault {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let (at, lasts) = (self.at.as_secs_f64(), self.lasts.as_secs_f64());
-        write!(formatter, "{at:.2} s {} {} for {lasts:.2} s", self.kind, self.target)
+        let (at, duration) = (self.at.as_secs_f64(), self.duration.as_secs_f64());
+        write!(formatter, "{at:.2} s {} {} for {duration:.2} s", self.kind, self.target)
     }
 }
 
-/// Mean time between two troubles: with those that last for two seconds, one or two go on at a time.
+/// Mean time between two faults. With a duration of about 2 s each, one or two are active at a
+/// time.
 const MEAN_GAP_MS: u64 = 1_300;
 
-/// Time at the end without trouble: all shall be served again before it is over.
-pub const CALM_END: Duration = Duration::from_secs(8);
+/// Fault-free time at the end of the traffic: all gateways must serve again before it ends.
+pub const FAULT_FREE_END: Duration = Duration::from_secs(8);
 
-/// Shortest and longest trouble.
-const LASTS_MS: std::ops::Range<u64> = 300..4_000;
+/// Range of the duration of a fault.
+const DURATION_MS: std::ops::Range<u64> = 300..4_000;
 
-/// One trouble of so many lasts several times as long: others forget and are forgotten meanwhile.
-const LONG_ONE_OF: u32 = 8;
+/// One in this many faults lasts four times as long, so that records held by other processes expire
+/// during it.
+const LONG_ONE_IN: u32 = 8;
 
-/// Length of a spell of troubles, and of the calm after it, in which only planned work goes on: what is
-/// promised within a time is judged there.
-const SPELL_MS: std::ops::Range<u64> = 5_000..14_000;
-const CALM_MS: u64 = 12_000;
+/// Length of a period with faults, and of the quiet period after it, which has planned operations
+/// only. Time-bounded guarantees are checked in quiet periods.
+const FAULT_PERIOD_MS: std::ops::Range<u64> = 5_000..14_000;
+const QUIET_PERIOD_MS: u64 = 12_000;
 
-/// Time from one request that crashes servers to the next, and for which each comes again.
-const COMES_MS: std::ops::Range<u64> = 4_000..40_000;
-const COMES_AGAIN_MS: std::ops::Range<u64> = 6_000..20_000;
+/// Time between the starts of two crashing requests, and for how long each is sent repeatedly.
+const CRASHING_REQUEST_GAP_MS: std::ops::Range<u64> = 4_000..40_000;
+const CRASHING_REQUEST_DURATION_MS: std::ops::Range<u64> = 6_000..20_000;
 
-/// Planned work, and what servers ask: no excuse for anything.
-pub const PLANNED: [Kind; 6] = [
-    Kind::Stop,
-    Kind::HangUp,
-    Kind::ServerDrain,
-    Kind::ServerAsksRest,
-    Kind::ServerSaysItLeaves,
-    Kind::ServerNamesLimit,
+/// Planned operations, and notices of servers: all guarantees hold during them.
+pub const PLANNED: [FaultKind; 6] = [
+    FaultKind::Stop,
+    FaultKind::HangUp,
+    FaultKind::ServerDrain,
+    FaultKind::ServerAsksRest,
+    FaultKind::ServerSaysItLeaves,
+    FaultKind::ServerNamesLimit,
 ];
 
-/// Kinds that are drawn apart: without them, a seed's troubles are the same.
-const APART: [Kind; 5] = [
-    Kind::CrashingRequest,
-    Kind::ServerAsksRest,
-    Kind::ServerSaysItLeaves,
-    Kind::ServerNamesLimit,
-    Kind::StoreDrill,
+/// Kinds that are drawn from random generators of their own, so that the other faults of a seed are
+/// the same with and without them.
+const SEPARATELY_DRAWN: [FaultKind; 5] = [
+    FaultKind::CrashingRequest,
+    FaultKind::ServerAsksRest,
+    FaultKind::ServerSaysItLeaves,
+    FaultKind::ServerNamesLimit,
+    FaultKind::StoreDrill,
 ];
 
-/// Time from one drill to the next; one of so many is followed by another after the shorter time.
-const DRILLS_MS: std::ops::Range<u64> = 8_000..20_000;
-const DRILLS_IN_A_ROW_MS: std::ops::Range<u64> = 200..3_000;
-const IN_A_ROW_ONE_OF: u32 = 3;
+/// Time between two drills; one in so many is followed by the next after the shorter time.
+const DRILL_GAP_MS: std::ops::Range<u64> = 8_000..20_000;
+const SHORT_DRILL_GAP_MS: std::ops::Range<u64> = 200..3_000;
+const SHORT_DRILL_GAP_ONE_IN: u32 = 3;
 
-/// How long the store is away in a drill.
-const DRILL_LASTS_MS: std::ops::Range<u64> = 100..2_500;
+/// How long the store is unavailable in a drill.
+const DRILL_DURATION_MS: std::ops::Range<u64> = 100..2_500;
 
-/// Time from one trouble in which a server asks something to the next.
-const ASKS_MS: std::ops::Range<u64> = 1_000..8_000;
+/// Time between the starts of two faults in which a server sends a notice.
+const NOTICE_GAP_MS: std::ops::Range<u64> = 1_000..8_000;
 
-/// How long a gateway is off that others are to forget: they do after a minute.
-const OFF: Duration = Duration::from_secs(80);
+/// How long a gateway is off: other gateways remove its record after 60 s.
+const OFF_DURATION: Duration = Duration::from_secs(80);
 
-/// The troubles of a seed, in order.
-pub fn draw(seed: u64, length: Duration, kinds: &[Kind]) -> Vec<Trouble> {
+/// Returns the faults of a seed, in order of their start.
+pub fn draw(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (apart, kinds): (Vec<Kind>, Vec<Kind>) =
-        kinds.iter().partition(|kind| APART.contains(kind));
-    let end = length.saturating_sub(CALM_END);
-    let planned: Vec<Kind> = kinds.iter().copied().filter(|kind| PLANNED.contains(kind)).collect();
-    let (mut troubles, mut begin) = (Vec::new(), Duration::ZERO);
+    let (separate, kinds): (Vec<FaultKind>, Vec<FaultKind>) =
+        kinds.iter().partition(|kind| SEPARATELY_DRAWN.contains(kind));
+    let end = length.saturating_sub(FAULT_FREE_END);
+    let planned: Vec<FaultKind> =
+        kinds.iter().copied().filter(|kind| PLANNED.contains(kind)).collect();
+    let (mut faults, mut begin) = (Vec::new(), Duration::ZERO);
     while begin < end {
-        let over = begin + Duration::from_millis(rng.random_range(SPELL_MS));
-        fill(&mut rng, &kinds, begin..over.min(end), &mut troubles);
-        begin = over + Duration::from_millis(CALM_MS);
-        fill(&mut rng, &planned, over..begin.min(end), &mut troubles);
+        let period_end = begin + Duration::from_millis(rng.random_range(FAULT_PERIOD_MS));
+        draw_period(&mut rng, &kinds, begin..period_end.min(end), &mut faults);
+        begin = period_end + Duration::from_millis(QUIET_PERIOD_MS);
+        draw_period(&mut rng, &planned, period_end..begin.min(end), &mut faults);
     }
-    // It goes on into the calm, where others have got over it.
-    let is_off = |trouble: &&mut Trouble| trouble.kind == Kind::Off;
-    troubles
+    // It continues into quiet periods, after the other gateways have recovered from its loss.
+    let is_off = |fault: &&mut Fault| fault.kind == FaultKind::Off;
+    faults
         .iter_mut()
         .filter(is_off)
-        .for_each(|trouble| trouble.lasts = OFF.min(end - trouble.at));
-    for kind in apart {
+        .for_each(|fault| fault.duration = OFF_DURATION.min(end - fault.at));
+    for kind in separate {
         let mut rng = ChaCha8Rng::seed_from_u64(!seed);
         match kind {
-            Kind::CrashingRequest => come_again(&mut rng, end, &mut troubles),
-            Kind::StoreDrill => drill(&mut rng, end, &mut troubles),
-            _ => ask_again(&mut rng, kind, end, &mut troubles),
+            FaultKind::CrashingRequest => draw_crashing_requests(&mut rng, end, &mut faults),
+            FaultKind::StoreDrill => draw_drills(&mut rng, end, &mut faults),
+            _ => draw_notices(&mut rng, kind, end, &mut faults),
         }
     }
-    troubles.sort_by_key(|trouble| trouble.at);
-    troubles
+    faults.sort_by_key(|fault| fault.at);
+    faults
 }
 
-/// Adds servers that ask something, at any time.
-fn ask_again(rng: &mut ChaCha8Rng, kind: Kind, end: Duration, troubles: &mut Vec<Trouble>) {
-    // Those of different kinds do not come at the same moments.
-    let mut at = Duration::from_millis(rng.random_range(ASKS_MS) / (2 + kind as u64 % 2));
+/// Adds faults of a kind in which servers send notices, at any time.
+fn draw_notices(rng: &mut ChaCha8Rng, kind: FaultKind, end: Duration, faults: &mut Vec<Fault>) {
+    // The divisor differs between neighbouring kinds, so that their faults do not start together.
+    let mut at = Duration::from_millis(rng.random_range(NOTICE_GAP_MS) / (2 + kind as u64 % 2));
     while at < end {
-        // A limit is judged once it has been named for some seconds.
-        let times = if kind == Kind::ServerNamesLimit { 4 } else { 1 };
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS)) * times;
+        // A limit is checked only after it has been advertised for some seconds.
+        let times = if kind == FaultKind::ServerNamesLimit { 4 } else { 1 };
+        let duration = Duration::from_millis(rng.random_range(DURATION_MS)) * times;
         let target = rng.random_range(0..1_000);
-        troubles.push(Trouble { at, lasts: lasts.min(end - at), kind, target });
-        at += Duration::from_millis(rng.random_range(ASKS_MS));
+        faults.push(Fault { at, duration: duration.min(end - at), kind, target });
+        at += Duration::from_millis(rng.random_range(NOTICE_GAP_MS));
     }
 }
 
-/// Adds drills of the store, at any time.
-fn drill(rng: &mut ChaCha8Rng, end: Duration, troubles: &mut Vec<Trouble>) {
-    let mut at = Duration::from_millis(rng.random_range(DRILLS_IN_A_ROW_MS));
+/// Adds store drills, at any time.
+fn draw_drills(rng: &mut ChaCha8Rng, end: Duration, faults: &mut Vec<Fault>) {
+    let mut at = Duration::from_millis(rng.random_range(SHORT_DRILL_GAP_MS));
     while at < end {
-        let lasts = Duration::from_millis(rng.random_range(DRILL_LASTS_MS)).min(end - at);
+        let duration = Duration::from_millis(rng.random_range(DRILL_DURATION_MS)).min(end - at);
         let target = rng.random_range(0..10_000);
-        troubles.push(Trouble { at, lasts, kind: Kind::StoreDrill, target });
-        let in_a_row = rng.random_range(0..IN_A_ROW_ONE_OF) == 0;
-        let gap_ms = rng.random_range(if in_a_row { DRILLS_IN_A_ROW_MS } else { DRILLS_MS });
-        at += lasts + Duration::from_millis(gap_ms);
+        faults.push(Fault { at, duration, kind: FaultKind::StoreDrill, target });
+        let short_gap = rng.random_range(0..SHORT_DRILL_GAP_ONE_IN) == 0;
+        let gap_ms = rng.random_range(if short_gap { SHORT_DRILL_GAP_MS } else { DRILL_GAP_MS });
+        at += duration + Duration::from_millis(gap_ms);
     }
 }
 
 /// Adds requests that crash servers, at any time.
-fn come_again(rng: &mut ChaCha8Rng, end: Duration, troubles: &mut Vec<Trouble>) {
+fn draw_crashing_requests(rng: &mut ChaCha8Rng, end: Duration, faults: &mut Vec<Fault>) {
     let mut at = Duration::ZERO;
     loop {
-        at += Duration::from_millis(rng.random_range(COMES_MS));
+        at += Duration::from_millis(rng.random_range(CRASHING_REQUEST_GAP_MS));
         if at >= end {
             return;
         }
-        let lasts = Duration::from_millis(rng.random_range(COMES_AGAIN_MS)).min(end - at);
+        let duration =
+            Duration::from_millis(rng.random_range(CRASHING_REQUEST_DURATION_MS)).min(end - at);
         let target = rng.random_range(0..1_000);
-        troubles.push(Trouble { at, lasts, kind: Kind::CrashingRequest, target });
+        faults.push(Fault { at, duration, kind: FaultKind::CrashingRequest, target });
     }
 }
 
-/// Troubles that begin and end in a span.
-fn fill(
+/// Adds faults that start and end within a span.
+fn draw_period(
     rng: &mut ChaCha8Rng,
-    kinds: &[Kind],
+    kinds: &[FaultKind],
     span: std::ops::Range<Duration>,
-    troubles: &mut Vec<Trouble>,
+    faults: &mut Vec<Fault>,
 ) {
     let mut at = span.start;
     while !kinds.is_empty() {
@@ -296,10 +304,11 @@
         if at >= span.end {
             return;
         }
-        let long = rng.random_range(0..LONG_ONE_OF) == 0;
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS)) * if long { 4 } else { 1 };
+        let long = rng.random_range(0..LONG_ONE_IN) == 0;
+        let duration =
+            Duration::from_millis(rng.random_range(DURATION_MS)) * if long { 4 } else { 1 };
         let kind = kinds[rng.random_range(0..kinds.len())];
         let target = rng.random_range(0..1_000);
-        troubles.push(Trouble { at, lasts: lasts.min(span.end - at), kind, target });
+        faults.push(Fault { at, duration: duration.min(span.end - at), kind, target });
     }
 }
