--- a/crates/schema/src/generated.rs
+++ b/crates/schema/src/generated.rs
@@ -4,22 +4,22 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AccountRow {
-    ///SHA-256 of the account's key, in hexadecimal; the key itself is stored nowhere.
+    ///SHA-256 of the account's key, in hexadecimal; the key itself is not stored anywhere.
     pub key_sha256_hex: ::std::string::String,
-    ///Requests of the account that one gateway has open at once.
+    ///Maximum number of the account's requests that one gateway has in flight at once.
     #[serde(default = "defaults::default_u64::<u32, 1000>")]
     pub limit_in_flight_requests: u32,
-    ///Requests a second over all gateways.
+    ///Maximum number of requests per second at all gateways together.
     #[serde(default = "defaults::default_u64::<u32, 100>")]
     pub limit_requests_per_s: u32,
-    ///Estimated tokens a second over all gateways.
+    ///Maximum number of estimated tokens per second at all gateways together.
     #[serde(default = "defaults::default_u64::<u32, 100000>")]
     pub limit_tokens_per_s: u32,
     ///Share of a busy backend server, relative to other accounts.
     #[serde(default = "defaults::default_u64::<u32, 100>")]
     pub weight: u32,
 }
-///What became of one attempt at a backend server.
+///Outcome of one attempt at a backend server.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -87,43 +87,43 @@
 pub struct AttemptStep {
     pub fate: AttemptFate,
     pub next: NextStep,
-    ///How often the request was sent by then.
+    ///Number of times that the request had been sent by then.
     pub sent_number: u32,
-    ///Counts servers in the order in which the gateway first heard of them.
+    ///Number of the server, in the order in which the servers became known to the gateway.
     pub server_number: u32,
 }
 ///A backend server, as operators edit it; its key is the name of its instance.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServerRow {
-    ///Name of its data centre.
+    ///Name of the server's data centre.
     pub data_centre: ::std::string::String,
-    ///Set by operators to take it out of use without cutting anything off.
+    ///Set by operators to take the server out of use without interrupting requests.
     #[serde(default)]
     pub drain: bool,
-    ///Whether the server itself checks and keeps the fence of the orders that it gets.
+    ///Whether the server itself checks and stores the fence of the orders that it receives.
     #[serde(default)]
     pub keeps_fence: bool,
-    ///Requests that run on it at once.
+    ///Maximum number of requests that run on the server at once.
     #[serde(default = "defaults::default_u64::<u32, 32>")]
     pub limit_running_requests: u32,
-    ///Name of the service that it serves.
+    ///Name of the server's service.
     pub service: ::std::string::String,
-    ///Expert slots of its rank beyond an even share of the experts.
+    ///Expert slots of the server's rank beyond an even share of the experts.
     #[serde(default = "defaults::default_u64::<u32, 1>")]
     pub spare_slots: u32,
-    ///Share of the service's work, relative to its other backend servers; 0 gives it none.
+    ///Share of the service's load, relative to its other backend servers; 0 for none.
     #[serde(default = "defaults::default_u64::<u32, 100>")]
     pub weight: u32,
 }
-///Either way: a piece of a body; its bytes are the frame's payload. Sequences count from 0.
+///Either direction: a piece of a body; its bytes are the frame's payload. Sequence numbers start at 0.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct BodyFrame {
     pub id: RequestId,
     pub last: bool,
     pub sequence: u64,
 }
-///Why a request was refused or failed.
+///Reason why a request was refused or failed.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -254,33 +254,33 @@
         value.parse()
     }
 }
-///First frame of a link, from the side that was dialled.
+///First frame of a link, from the side that accepted the connection.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ChallengeFrame {
     pub incarnation: u64,
     pub instance: ::std::string::String,
     pub nonce_hex: ::std::string::String,
 }
-///Either way: send the newest configuration, if it is newer than this.
+///Either direction: requests the newest configuration, if it is newer than this version.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ConfigAskFrame {
     pub have_version: u64,
 }
-///The one row that says which configuration is in force.
+///The single row that identifies the configuration in force.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ConfigHead {
     ///Key of the snapshot in the object store.
     pub object_key: ::std::string::String,
-    ///Table revision up to which edits are part of it.
+    ///Table revision up to which edits are part of the configuration.
     pub rows_revision: u64,
     ///SHA-256 of the snapshot's bytes.
     pub sha256_hex: ::std::string::String,
     pub version: u64,
 }
-///Either way, answering `ConfigAsk`: a part of the accepted snapshot's bytes, which are the frame's payload.
+///Either direction, in reply to `ConfigAsk`: a part of the accepted snapshot's bytes, which are the frame's payload.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ConfigPartFrame {
-    ///Counts from 0.
+    ///Number of the part, from 0.
     pub part: u32,
     pub parts: u32,
     pub version: u64,
@@ -289,52 +289,52 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ConnectionStep {
     pub error: ::std::string::String,
-    ///Stands for the path, account and body of the request.
+    ///Fingerprint of the request's path, account and body.
     #[serde(default)]
     pub fingerprint_number: u64,
-    ///Whether it was opened for this request.
+    ///Whether the connection was opened for this request.
     pub fresh: bool,
     pub server_number: u32,
-    ///Whether nothing of the request was written.
+    ///Whether no part of the request was written.
     pub unsent: bool,
 }
-///How often a rank's requests have chosen each expert, set by set, since an earlier reading.
+///Delta of a rank's counters: how often its requests chose each expert, set by set, since an earlier snapshot.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct CountsNews {
     pub counts: ::std::vec::Vec<u64>,
-    ///Life of the group.
+    ///Epoch of the group.
     pub epoch: u64,
-    ///Last pass that has begun.
+    ///Number of the last pass that has begun.
     pub pass_number: u64,
-    ///Names this reading; the next one can be told from here on.
+    ///Number of this counter snapshot, on which the next delta can be based.
     pub reading_number: u64,
-    ///The reading that the counts go on from; 0 if they are since the rank's start.
+    ///Number of the snapshot on which the delta is based; 0 if the counts are since the rank's start.
     pub since_number: u64,
 }
-///A backend server that crashed, as one gateway saw it, and what was there.
+///Report of one gateway that a backend server crashed, and which requests were there.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct CrashNews {
-    ///Time since, as far as the one who tells has heard.
+    ///Time since the crash, as far as the sender knows.
     pub age_ms: u64,
-    ///Stands for one life of the gateway that saw it.
+    ///Identifies one incarnation of the gateway that observed the crash.
     pub reporter_number: u64,
-    ///Stands for one life of the server.
+    ///Identifies one incarnation of the server.
     pub server_number: u64,
-    ///Requests that were there: fingerprint, how long they had been there in ms, and how far they were: 0 if no answer had begun, 2 if it had and nothing more had come, else 1.
+    ///Requests that were at the server: fingerprint, time in ms that the server had had it, and stage: 0 if the answer had not begun, 2 if it had begun and nothing more of it had arrived, otherwise 1.
     pub suspects: ::std::vec::Vec<[u64; 3usize]>,
 }
-///Crashes at which one request was, as the platform keeps them.
+///Crashes at which one request was, as stored on the platform.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct CrashRow {
     pub crashes: ::std::vec::Vec<KeptCrash>,
 }
-///Either way: the receiver of a body has room for more of it.
+///Either direction: the receiver of a body has capacity for more of it.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct CreditFrame {
     pub id: RequestId,
     pub more_bytes: u64,
 }
-///What the daemon does on its instance.
+///Role of the daemon on its instance.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -393,41 +393,41 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentreRow {
-    ///Set by operators to empty the whole data centre.
+    ///Set by operators to drain the whole data centre.
     #[serde(default)]
     pub drain: bool,
-    ///Region that it belongs to.
+    ///Region of the data centre.
     pub region: ::std::string::String,
-    ///Share of new callers, relative to other data centres; 0 sends it none.
+    ///Share of new callers, relative to other data centres; 0 for none.
     #[serde(default = "defaults::default_u64::<u32, 100>")]
     pub weight: u32,
 }
 ///Section `[instance]`.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct DirectInstanceSettings {
-    ///Data centre that the instance stands in.
+    ///Data centre of the instance.
     pub data_centre: ::std::string::String,
-    ///Name of the instance; no two have the same.
+    ///Unique name of the instance.
     pub name: ::std::string::String,
-    ///Longest time that a planned stop may take.
+    ///Maximum duration of a planned stop.
     #[serde(default = "defaults::default_u64::<u64, 8>")]
     pub stop_within_s: u64,
 }
 ///Section `[listen]`.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct DirectListenSettings {
-    ///Where callers connect.
+    ///Address to which callers connect.
     pub callers: ::std::string::String,
-    ///Where callers ask which gateways to use.
+    ///Address at which callers query which gateways to use.
     pub endpoints: ::std::string::String,
-    ///Where metrics are read; empty for nowhere.
+    ///Address at which metrics are read; empty for none.
     #[serde(default)]
     pub metrics: ::std::string::String,
-    ///Where other gateways connect.
+    ///Address to which other gateways connect.
     pub peers: ::std::string::String,
-    ///Where the platform asks whether the gateway is ready.
+    ///Address at which the platform checks whether the gateway is ready.
     pub readiness: ::std::string::String,
-    ///Where orders to engines are relayed for the gateway that leads their map: on the sidecars' port of this instance; empty for nowhere.
+    ///Address at which orders to engines are relayed for the gateway that leads their map, on the sidecars' port of this instance; empty for none.
     #[serde(default)]
     pub relay: ::std::string::String,
     ///Port on which the process beside each backend server listens; 0 if there are none.
@@ -437,26 +437,26 @@
 ///Section `[platform]`.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct DirectPlatformSettings {
-    ///Gateways to ask first for news, comma-separated.
+    ///Addresses of the gateways that are contacted first for gossip, comma-separated.
     #[serde(default)]
     pub seeds: ::std::string::String,
-    ///The platform's store.
+    ///Address of the platform's store.
     pub store: ::std::string::String,
-    ///Longest wait for one answer of the store.
+    ///Timeout of one request to the store.
     #[serde(default = "defaults::default_u64::<u64, 1500>")]
     pub timeout_ms: u64,
 }
-///Section `[repeats]`: what all gateways together may repeat at a service in any window.
+///Section `[repeats]`: bound on the retries of all gateways together at one service, in any window.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct DirectRepeatSettings {
-    ///Repeats for each request.
+    ///Retries per request.
     pub ratio_part: f64,
-    ///Repeats beyond that.
+    ///Retries in addition to this ratio.
     pub slack_requests: f64,
-    ///Length of a window.
+    ///Length of the window.
     pub window_s: f64,
 }
-///Settings of a gateway that sends requests straight to backend servers; sections and keys of its INI file.
+///Settings of a gateway that sends requests directly to backend servers; sections and keys of its INI file.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct DirectSettings {
     pub instance: DirectInstanceSettings,
@@ -471,7 +471,7 @@
     pub data_centre: ::std::string::String,
     pub weight: u32,
 }
-///Answer to `GET /v1/endpoints`: which gateways to use, and how long to keep this.
+///Answer to `GET /v1/endpoints`: gateways to use, and how long to cache this answer.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct EndpointsAnswer {
     pub config_version: u64,
@@ -485,7 +485,7 @@
     pub step_number: u64,
     pub tokens: ::std::vec::Vec<f64>,
 }
-///Every frame of a link between two processes. A frame is one binary WebSocket message: this value in CBOR, then the payload's bytes.
+///Any frame of a link between two processes. A frame is one binary WebSocket message: this value in CBOR, then the payload's bytes.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum Frame {
     Challenge(ChallengeFrame),
@@ -585,16 +585,16 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    ///Most attempts for one request.
+    ///Maximum number of attempts for one request.
     #[serde(default = "defaults::default_u64::<u32, 3>")]
     pub attempts: u32,
-    ///Largest request body.
+    ///Maximum size of a request body.
     #[serde(default = "defaults::default_u64::<u64, 16777216>")]
     pub body_limit_bytes: u64,
-    ///How long callers may keep an endpoints answer.
+    ///Time for which callers may cache an endpoints answer.
     #[serde(default = "defaults::default_u64::<u64, 30000>")]
     pub keep_endpoints_ms: u64,
-    ///How long a lost request's fate is asked for before the answer is may-have-run.
+    ///Time for which the outcome of a lost request is queried before the answer is may-have-run.
     #[serde(default = "defaults::default_u64::<u64, 3000>")]
     pub settle_ms: u64,
 }
@@ -621,37 +621,37 @@
     pub name: ::std::string::String,
     pub value: ::std::string::String,
 }
-///Gateway to sidecar: it is alive, and which configuration it has.
+///Gateway to sidecar: the gateway is alive, and has this configuration.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct HeartbeatFrame {
     pub config_version: u64,
 }
-///Second frame of a link, from the side that dialled: proof of the shared key, and who it is.
+///Second frame of a link, from the side that opened the connection: its identity, and proof of the shared key.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct HelloFrame {
     pub incarnation: u64,
     pub instance: ::std::string::String,
-    ///Grows with each link that this incarnation opens to the sidecar.
+    ///Increases with each link that this incarnation opens to the sidecar.
     pub link_epoch: u64,
     ///HMAC-SHA-256 over the nonce and the other fields.
     pub proof_hex: ::std::string::String,
 }
-///A frame that says nothing but which request it is about.
+///A frame that contains only the id of a request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct IdFrame {
     pub id: RequestId,
 }
-///One line of the platform's instance list.
+///One entry of the platform's instance list.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct Instance {
-    ///IP number and port: of a gateway, where callers connect; of a sidecar, where links connect.
+    ///IP address and port: of a gateway, for callers; of a sidecar, for links.
     pub address: ::std::string::String,
     pub data_centre: ::std::string::String,
     pub name: ::std::string::String,
     pub role: InstanceRole,
     pub state: InstanceState,
 }
-///What an instance runs.
+///Role of the process on an instance.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -710,21 +710,21 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    ///IP number and port of health, readiness and metrics.
+    ///IP address and port for health, readiness and metrics.
     #[serde(default = "defaults::instance_settings_admin_listen")]
     pub admin_listen: ::std::string::String,
-    ///Data centre that the instance stands in.
+    ///Data centre of the instance.
     pub data_centre: ::std::string::String,
-    ///IP number and port: callers' HTTP at a gateway, links at a sidecar.
+    ///IP address and port: for HTTP requests of callers at a gateway, for links at a sidecar.
     pub listen: ::std::string::String,
-    ///Name of the instance in the platform's list.
+    ///Name of the instance in the platform's instance list.
     pub name: ::std::string::String,
     pub role: DaemonRole,
-    ///Longest time that a planned stop waits for requests in flight.
+    ///Maximum time that a planned stop waits for requests in flight.
     #[serde(default = "defaults::default_u64::<u64, 60000>")]
     pub stop_within_ms: u64,
 }
-///What the platform knows of an instance, with a lag.
+///State of an instance as known to the platform, with a delay.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -779,27 +779,27 @@
         value.parse()
     }
 }
-///One of them.
+///One crash of a `CrashRow`.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct KeptCrash {
-    ///Whether its answer had begun, and nothing more had come.
+    ///Whether the answer to the request had begun and nothing more of it had arrived.
     #[serde(default)]
     pub at_start: bool,
-    ///When, by the store's clock.
+    ///Time of the crash, by the store's clock.
     pub crashed_ms: u64,
-    ///How long the request had been there.
+    ///Time that the request had been at the server.
     pub ran_ms: u64,
-    ///Stands for one life of the server.
+    ///Identifies one incarnation of the server.
     pub server_number: u64,
 }
-///Who leads a group: a row of the table `leases`, written anew with each renewal.
+///Leader of a group: a row of the table `leases`, rewritten with each renewal.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct LeaseRow {
     pub epoch: u64,
     ///Instance and incarnation.
     pub holder: ::std::string::String,
 }
-///Why a stream left a server.
+///Reason why a stream left a server.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -857,20 +857,20 @@
 ///A stream left a server.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct LeaveStep {
-    ///The last event that the caller has.
+    ///Number of the last event that the caller has received.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub after_event_number: ::std::option::Option<u64>,
-    ///Stands for the path, account and body of the request.
+    ///Fingerprint of the request's path, account and body.
     #[serde(default)]
     pub fingerprint_number: u64,
     pub next: NextStep,
     pub reason: LeaveReason,
     pub server_number: u32,
 }
-///A server named how many requests a second it takes from all gateways together.
+///A server advertised a limit: the requests per second that it accepts from all gateways together.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct LimitStep {
-    ///The number as the server told it.
+    ///The limit, as the server sent it.
     pub named: ::std::string::String,
     pub server_number: u32,
 }
@@ -878,29 +878,29 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
-    ///Largest frame that is read.
+    ///Maximum size of a received frame.
     #[serde(default = "defaults::default_u64::<u64, 262144>")]
     pub frame_limit_bytes: u64,
-    ///Time between two heartbeats on an idle link.
+    ///Interval of heartbeats on an idle link.
     #[serde(default = "defaults::default_u64::<u64, 2000>")]
     pub heartbeat_ms: u64,
-    ///Shared keys, comma-separated; the first proves, any is accepted.
+    ///Shared keys, comma-separated. Proofs are made with the first one; proofs made with any of them are accepted.
     pub keys: ::std::string::String,
-    ///Silence after which a link counts as lost.
+    ///Time without a received message after which a link is considered lost.
     #[serde(default = "defaults::default_u64::<u64, 7000>")]
     pub silence_ms: u64,
 }
-///Sidecar to gateway: its state; the answer to the hello, then every heartbeat.
+///Sidecar to gateway: state of the sidecar, sent in reply to the hello and then at each heartbeat interval.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct LoadFrame {
     pub config_version: u64,
     pub leaving: bool,
-    ///The sidecar's own clock.
+    ///Time by the sidecar's own clock.
     pub now_ms: u64,
     pub queued_requests: u32,
     pub running_requests: u32,
     pub running_tokens: u64,
-    ///Late mean of the engine's step time; 0 when unknown.
+    ///Recent mean of the engine's step time; 0 if it is not known.
     pub step_ms: f64,
 }
 ///A map that a rank has staged.
@@ -910,34 +910,34 @@
     pub committed: bool,
     pub map: MapName,
 }
-///A leader's claim to a group; the higher one wins.
+///Identifier of a leader's term in a group; the higher ballot takes precedence.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MapBallot {
     pub number: u64,
     ///0 for the holder of the lease.
     pub proposer_number: u32,
 }
-///Who claimed the lead of a service's expert maps last.
+///The last claim to the leadership of a service's expert maps.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MapClaim {
-    ///When, by the store's clock.
+    ///Time of the claim, by the store's clock.
     pub claimed_ms: u64,
-    ///Its fencing token; 0 in rows of a version whose tokens were the row's revision.
+    ///Fencing token of the leader; 0 in rows of an earlier version, whose tokens were the row's revision.
     #[serde(default)]
     pub fence_number: u64,
-    ///Name of its instance.
+    ///Name of the leader's instance.
     pub holder: ::std::string::String,
 }
-///How things stand at a rank that has joined a ballot.
+///State of a rank that has joined a ballot.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MapJoined {
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub armed: ::std::option::Option<MapArmed>,
     pub ballot: MapBallot,
     pub current: MapName,
-    ///Experts in the rank's slots, in the map in use, or the one decided.
+    ///Experts in the rank's slots, in the map in use or in the map that was decided.
     pub experts: ::std::vec::Vec<u16>,
-    ///The next step to run.
+    ///Number of the next step to run.
     pub step_number: u64,
 }
 ///One version of a group's expert map.
@@ -957,7 +957,7 @@
 pub struct MapOrderFrame {
     pub order: MapOrder,
 }
-///What an order asks for.
+///Action that an order requests.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum MapOrderKind {
     #[serde(rename = "join")]
@@ -974,7 +974,7 @@
         Self::Stage(value)
     }
 }
-///A rank's answer to an order.
+///Reply of a rank to an order.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum MapReply {
     #[serde(rename = "silent")]
@@ -1002,45 +1002,45 @@
         Self::Outdated(value)
     }
 }
-///Sidecar to leader: what the rank answered.
+///Sidecar to leader: the reply of the rank.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MapReplyFrame {
     pub reply: MapReply,
 }
-///Load these experts' weights, and wait for the outcome at that step.
+///Order to load the weights of these experts and to wait for the outcome at that step.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MapStage {
     pub at_step_number: u64,
     pub experts: ::std::vec::Vec<u16>,
     pub map: MapName,
 }
-///A gateway, as it or another one tells of it.
+///Record of a gateway, from itself or from another gateway.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MemberNews {
-    ///Time since it lived, as far as the one who tells has heard.
+    ///Time since the gateway was alive, as far as the sender knows.
     #[serde(default)]
     pub age_ms: u64,
-    ///IP number and port.
+    ///IP address and port.
     pub callers_at: ::std::string::String,
     pub data_centre: ::std::string::String,
-    ///Rises while its process lives.
+    ///Increases while the gateway's process runs.
     pub heartbeat_number: u64,
     pub incarnation: u64,
-    ///Fencing token with which it leads expert maps; 0 if it does not.
+    ///Fencing token with which the gateway leads expert maps; 0 if it does not.
     #[serde(default)]
     pub lead_fence_number: u64,
-    ///Memory of its instance; 0 if that is not known.
+    ///Memory of the gateway's instance; 0 if it is not known.
     #[serde(default)]
     pub memory_bytes: u64,
     pub name: ::std::string::String,
-    ///IP number and port.
+    ///IP address and port.
     pub peers_at: ::std::string::String,
     pub readiness: Readiness,
-    ///Whether the platform's store answers it.
+    ///Whether the platform's store responds to the gateway.
     #[serde(default = "defaults::default_bool::<true>")]
     pub store_answers: bool,
 }
-///What a gateway does after an attempt.
+///Action of a gateway after an attempt.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1099,44 +1099,44 @@
         value.parse()
     }
 }
-///A server answered another request; its connection is closed.
+///A server's answer belonged to another request; the connection is closed.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct OtherAnswerStep {
     pub server_number: u32,
 }
-///Gateway to gateway: what each knows, and what the other was found to lack. The one that asks sends one with no news; it is answered by one.
+///Gateway to gateway: a gossip message, with what the sender knows and what the receiver lacks. The first message of an exchange has no table updates; the reply to it is of the same type.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct PeerNews {
-    ///Of each of the beats: time since the gateway lived, as far as the one who tells has heard.
+    ///For each entry of `beats`: time since the gateway was alive, as far as the sender knows.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub beat_ages_ms: ::std::vec::Vec<u64>,
-    ///Of each gateway that is known: a number for its life, its heartbeat, its state (readiness, 0 to 2, and 4 if the store answers it), its fencing token.
+    ///For each known gateway: identifier of its incarnation, its heartbeat, its state (readiness, 0 to 2, plus 4 if the store responds to it), its fencing token.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub beats: ::std::vec::Vec<[u64; 4usize]>,
-    ///Requests that were at a crash and ended well elsewhere: fingerprint, and the time since in ms.
+    ///Requests that were at a crash and have completed elsewhere: fingerprint, and time in ms since the completion.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub cleared: ::std::vec::Vec<[u64; 2usize]>,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub configuration_kept: ::std::option::Option<TableNews>,
-    ///The configuration in force; 0 if there is none.
+    ///Version of the configuration in force; 0 if there is none.
     #[serde(default)]
     pub configuration_version: u64,
-    ///Stands for all crashes of servers that are known.
+    ///Digest of all known crash reports.
     #[serde(default)]
     pub crash_digest_number: u64,
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub crashes: ::std::vec::Vec<CrashNews>,
-    ///Reports of crashes that are known, where the other's digest is another one: the server's number, the reporter's, and a number for what was there.
+    ///Known crash reports, sent if the receiver's digest differs: the server's number, the reporter's number, and a digest of the suspects.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub crashes_known: ::std::vec::Vec<[u64; 3usize]>,
-    ///Reports of which the other may know more: the server's number and the reporter's.
+    ///Crash reports of which the receiver may know more: the server's number and the reporter's number.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub crashes_wanted: ::std::vec::Vec<[u64; 2usize]>,
     pub known: ::std::vec::Vec<TableKnown>,
-    ///What backend servers said of how much they take from all gateways together: the server's number, requests in 1,000 s (the largest number: it names no limit any more), and the time in ms since it said so, at least and at most.
+    ///Limits that backend servers advertise for all gateways together: the server's number, requests in 1,000 s (the maximum of the type: the server has no limit any more), and the minimum and maximum of the time in ms since the server advertised it.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub limits: ::std::vec::Vec<[u64; 4usize]>,
-    ///Gateways that the other was found not to know.
+    ///Records of gateways that the receiver does not know.
     pub members: ::std::vec::Vec<MemberNews>,
     pub news: ::std::vec::Vec<TableNews>,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
@@ -1145,36 +1145,36 @@
     pub permits_given: ::std::option::Option<PermitsGiven>,
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub slow: ::std::vec::Vec<SlowServers>,
-    ///Lives that are not known.
+    ///Identifiers of incarnations that the sender does not know.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub wanted_numbers: ::std::vec::Vec<u64>,
 }
-///A gateway asks another one for permits to send requests to a server that names a limit or comes back from a rest, or to try one request again, or tells it just that its part of what all may send is handed over.
+///Request for permits from another gateway: to send requests to a server that advertises a limit or is in its ramp-up after a back-off, or to retry one request that is suspected of crashing servers. With none of these, the message only delegates the sender's share of the limits.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct PermitsAsked {
-    ///Stands for the gateway, whichever of its processes.
+    ///Identifies the sending gateway, with the same value in all its incarnations.
     pub gateway_number: u64,
-    ///Whether its part is handed over.
+    ///Whether the sender delegates its share of the limits to the receiver.
     pub hands_over: bool,
-    ///What all gateways together send the server in 1,000 s, while it comes back from a rest.
+    ///Requests that all gateways together may send to the server in 1,000 s during its ramp-up after a back-off.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub returning_requests: ::std::option::Option<u64>,
-    ///Stands for one life of the server.
+    ///Identifies one incarnation of the server.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub server_number: ::std::option::Option<u64>,
-    ///Stands for a request that is to be tried again after a server crashed as it began there.
+    ///Fingerprint of a request that is to be retried after a server crashed when it began to run the request.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub trial_number: ::std::option::Option<u64>,
-    ///Requests that are to be sent.
+    ///Number of requests that are to be sent.
     #[serde(default)]
     pub wanted_requests: u32,
 }
-///The answer to it.
+///Response to a request for permits.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct PermitsGiven {
-    ///If none: when there is one, unless others take it.
+    ///If no permit was granted: time until one is available, unless other gateways take it.
     pub again_in_ms: u64,
-    ///Requests that may be sent.
+    ///Number of requests that may be sent.
     pub permitted_requests: u32,
 }
 ///Section `[platform]`.
@@ -1185,16 +1185,16 @@
     pub instances_url: ::std::string::String,
     ///Base URL of the object store.
     pub object_url: ::std::string::String,
-    ///Mean time between two looks at the configuration's head row.
+    ///Mean time between two polls of the configuration's head row.
     #[serde(default = "defaults::default_u64::<u64, 1500>")]
     pub poll_ms: u64,
     ///Base URL of the table service.
     pub table_url: ::std::string::String,
-    ///Longest wait for one answer of the platform.
+    ///Timeout of one request to the platform.
     #[serde(default = "defaults::default_u64::<u64, 2000>")]
     pub timeout_ms: u64,
 }
-///The JSON body of every refusal and failure that callers get.
+///JSON body of all refusals and failures that callers receive.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ProblemBody {
     pub cause: Cause,
@@ -1262,23 +1262,23 @@
         value.parse()
     }
 }
-///Sidecar to gateway: the request ends without a whole answer.
+///Sidecar to gateway: the request ends without a complete answer.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RefusedFrame {
     pub cause: Cause,
     pub id: RequestId,
-    ///When to come back, where that helps.
+    ///Time after which to retry; absent if a retry does not help.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub retry_after_ms: ::std::option::Option<u64>,
-    ///Whether the request's ticket can never run any more.
+    ///Whether the request's ticket can no longer be used to run the request.
     pub spent: bool,
     pub verdict: Verdict,
 }
-///The caller was refused.
+///The caller's request was refused.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RefusedStep {
     pub cause: Cause,
-    ///Time since the request came.
+    ///Time since the request arrived.
     pub held_ms: u64,
     pub verdict: Verdict,
 }
@@ -1286,17 +1286,17 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RequestFrame {
     pub account: ::std::string::String,
-    ///Estimated tokens, prompt and answer.
+    ///Estimated number of tokens of prompt and answer.
     pub cost_tokens: u32,
-    ///Answer bytes that the sidecar may send before the first `Credit`.
+    ///Bytes of the answer that the sidecar may send before the first `Credit`.
     pub credit_bytes: u64,
-    ///Time left when the gateway sent it.
+    ///Time until the deadline when the gateway sent the request.
     pub deadline_in_ms: u64,
     pub headers: ::std::vec::Vec<Header>,
     pub id: RequestId,
     pub method: ::std::string::String,
     pub path: ::std::string::String,
-    ///0 to 9; the higher goes first.
+    ///Priority from 0 to 9; a higher one is served first.
     pub priority: u8,
     pub service: ::std::string::String,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
@@ -1306,14 +1306,14 @@
     ///The account's share at a busy backend server.
     pub weight: u32,
 }
-///A request as its gateway numbers it; unique within one incarnation of that gateway.
+///Identifier that a gateway gives to a request; unique within one incarnation of that gateway.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RequestId {
-    ///Counts from 0; a later attempt replaces all earlier ones.
+    ///Number of the attempt, from 0; a later attempt replaces all earlier ones.
     pub attempt: u32,
     pub number: u64,
 }
-///What a gateway logs of a request's way, one line each.
+///Log line of a gateway about one step of the handling of a request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum RequestStep {
     #[serde(rename = "attempt")]
@@ -1366,21 +1366,21 @@
         Self::Refused(value)
     }
 }
-///A server refused the request and asked to be sent nothing for a while.
+///A server refused the request and asked for a back-off.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RestStep {
-    ///The time as the server told it.
+    ///Duration of the back-off, as the server sent it.
     pub asked: ::std::string::String,
     pub server_number: u32,
 }
-///A condition of a transaction: the row must have just this version.
+///A condition of a transaction: the row must have exactly this version.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RowCheck {
     pub key: ::std::string::String,
     pub table: ::std::string::String,
     pub version: u64,
 }
-///Why an edited row is not part of the configuration in force.
+///Reason why an edited row is not part of the configuration in force.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct RowError {
     pub message: ::std::string::String,
@@ -1393,7 +1393,7 @@
     pub table: ::std::string::String,
     pub value: ::serde_json::Value,
 }
-///How a service's backend servers work: a group of expert-parallel ranks, or plain servers.
+///Kind of a service's backend servers: a group of expert-parallel ranks, or plain servers.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1452,20 +1452,20 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRow {
-    ///Deadline of a request that names none.
+    ///Deadline of a request that does not specify one.
     #[serde(default = "defaults::default_u64::<u64, 60000>")]
     pub deadline_ms: u64,
-    ///Experts a layer that the group places; 0 for a plain service.
+    ///Experts per layer that the group places; 0 for a plain service.
     #[serde(default)]
     pub experts_per_layer: u32,
     pub kind: ServiceKind,
-    ///Requests that may wait at one backend server.
+    ///Maximum number of requests that wait at one backend server.
     #[serde(default = "defaults::default_u64::<u32, 64>")]
     pub queue_limit_requests: u32,
-    ///Cost that the service puts on a millisecond of step time lost to moving experts.
+    ///Cost of a millisecond of step time lost to moving experts.
     #[serde(default = "defaults::service_row_weight_rebalance")]
     pub weight_rebalance: f64,
-    ///Cost that the service puts on a millisecond of step time lost to the slowest rank.
+    ///Cost of a millisecond of step time lost to the slowest rank.
     #[serde(default = "defaults::service_row_weight_skew")]
     pub weight_skew: f64,
 }
@@ -1483,25 +1483,25 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub traces: ::std::option::Option<TraceSettings>,
 }
-///Gateway to sidecar: what became of this request? Its ticket, if any, must not run any more if it has not.
+///Gateway to sidecar: requests the outcome of a request. If the request has not run, its ticket, if any, must not run any more.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct SettleFrame {
     pub id: RequestId,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub ticket: ::std::option::Option<Ticket>,
 }
-///Sidecar to gateway: what became of a request. After `not-run` it never will run.
+///Sidecar to gateway: outcome of a request. After `not-run`, the request will never run.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct SettledFrame {
     pub id: RequestId,
     pub verdict: Verdict,
 }
-///Section `[sidecar]` of a process beside a backend server that passes orders on to its engine.
+///Section `[sidecar]` of a process beside a backend server that relays orders to its engine.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct SidecarRoleSettings {
-    ///The engine beside this process.
+    ///Address of the engine beside this process.
     pub engine: ::std::string::String,
-    ///Where the leader of the maps connects.
+    ///Address to which the leader of the maps connects.
     pub listen: ::std::string::String,
 }
 ///Section `[sidecar]`.
@@ -1510,42 +1510,42 @@
 pub struct SidecarSettings {
     ///Base URL of the backend server beside the sidecar.
     pub backend_url: ::std::string::String,
-    ///Steps ahead at which a new map takes effect.
+    ///Number of steps ahead at which a new map takes effect.
     #[serde(default = "defaults::default_u64::<u64, 200>")]
     pub horizon_steps: u64,
     ///Time after which a leader that does not renew its lease is replaced.
     #[serde(default = "defaults::default_u64::<u64, 10000>")]
     pub lease_ms: u64,
-    ///Step time lost to loading one expert's weights.
+    ///Step time lost to loading the weights of one expert.
     #[serde(default = "defaults::default_u64::<u64, 20>")]
     pub load_ms: u64,
-    ///Time between two plans of the group's expert map, if this sidecar leads it.
+    ///Interval at which the group's expert map is planned, if this sidecar leads the group.
     #[serde(default = "defaults::default_u64::<u64, 10000>")]
     pub plan_ms: u64,
-    ///How long tickets are remembered.
+    ///Time for which tickets are remembered.
     #[serde(default = "defaults::default_u64::<u64, 600000>")]
     pub remember_ms: u64,
-    ///Most tickets remembered at once.
+    ///Maximum number of tickets remembered at once.
     #[serde(default = "defaults::default_u64::<u32, 100000>")]
     pub remember_tickets: u32,
-    ///Longest time for all ranks to stage a map before the switch is called off.
+    ///Maximum time for all ranks to stage a map, after which the switch is aborted.
     #[serde(default = "defaults::default_u64::<u64, 30000>")]
     pub switch_ms: u64,
 }
-///Backend servers of a service that the leader of its expert maps found slow.
+///Slow-server report: backend servers of a service that the leader of its expert maps considers slow.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct SlowServers {
-    ///Time since it was found, as far as the one who tells has heard.
+    ///Time since the report was made, as far as the sender knows.
     #[serde(default)]
     pub age_ms: u64,
-    ///Rises with each finding of one leader.
+    ///Number of the report; increases with each report of one leader.
     pub finding_number: u64,
-    ///The leader's fencing token.
+    ///Fencing token of the leader.
     pub lead_fence_number: u64,
     pub servers: ::std::vec::Vec<::std::string::String>,
     pub service: ::std::string::String,
 }
-///An accepted configuration, whole: the content of one snapshot object.
+///A complete accepted configuration: the content of one snapshot object.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct Snapshot {
     pub accounts: ::std::collections::BTreeMap<::std::string::String, AccountRow>,
@@ -1557,17 +1557,17 @@
     pub services: ::std::collections::BTreeMap<::std::string::String, ServiceRow>,
     pub version: u64,
 }
-///Answer to `GET /v1/status`: what a gateway says of itself to operators.
+///Answer to `GET /v1/status`: state of a gateway, for operators.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct StatusAnswer {
-    ///0 before the first.
+    ///Version of the configuration in force; 0 before the first one.
     pub config_version: u64,
     pub data_centre: ::std::string::String,
     pub instance: ::std::string::String,
     pub leaving: bool,
     pub open_requests: u64,
 }
-///A row of a table of the platform, or its removal where it has no value.
+///A changed row of a table of the platform; a row without a value was removed.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct TableChange {
     pub key: ::std::string::String,
@@ -1575,42 +1575,42 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub value: ::std::option::Option<::std::string::String>,
 }
-///How much a gateway knows of a table.
+///The revision up to which a gateway has a table.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct TableKnown {
-    ///How often the store had come back from an older copy.
+    ///Number of times that the store was restored from an older copy.
     #[serde(default)]
     pub era_number: u64,
     pub revision: u64,
     pub table: ::std::string::String,
 }
-///What a gateway knows of a table and the other does not.
+///Update of a table: what the sender has and the receiver lacks.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct TableNews {
     pub changes: ::std::vec::Vec<TableChange>,
-    ///How often the store had come back from an older copy; revisions compare within one era alone.
+    ///Number of times that the store was restored from an older copy. Revisions are comparable only within one era.
     #[serde(default)]
     pub era_number: u64,
     pub revision: u64,
     pub table: ::std::string::String,
-    ///Whether rows that are not told do not exist.
+    ///Whether the update lists the complete table: rows that are not listed do not exist.
     pub whole: bool,
 }
-///One row of the table service, with the version that its last write gave it.
+///One row of the table service, with the version of its last write.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct TableRow {
     pub key: ::std::string::String,
     pub value: ::serde_json::Value,
-    ///Table revision of the row's last write; 0 stands for 'does not exist'.
+    ///Table revision of the row's last write; 0 if the row does not exist.
     pub version: u64,
 }
-///Answer to a scan: the rows written after the asked revision, and the revision of the scan.
+///Answer to a scan: the rows written after the requested revision, and the revision of the scan.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct TableRows {
     pub revision: u64,
     pub rows: ::std::vec::Vec<TableRow>,
 }
-///Right to run one request that is not repeatable, at one incarnation of one sidecar.
+///Permission to run one request that is not repeatable, at one incarnation of one sidecar.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct Ticket {
     pub incarnation: u64,
@@ -1624,19 +1624,19 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TraceSettings {
-    ///Where spans are sent, by OTLP over HTTP.
+    ///URL to which spans are sent, by OTLP over HTTP.
     pub otlp_url: ::std::string::String,
-    ///Share of traces that begin here and are kept; a caller's own choice goes before it.
+    ///Percentage of the traces started by this process that are sampled. The sampling decision in a caller's trace context takes precedence.
     #[serde(default = "defaults::default_u64::<u32, 1>")]
     pub sample_percent: u32,
 }
-///All checks hold and all writes take effect, or nothing happens.
+///A transaction: either all checks hold and all writes take effect, or there is no effect.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct Transaction {
     pub checks: ::std::vec::Vec<RowCheck>,
     pub writes: ::std::vec::Vec<RowWrite>,
 }
-///What became of a transaction. `conflicts` holds the rows whose check failed, as they are now.
+///Outcome of a transaction. `conflicts` holds the rows whose check failed, with their current versions.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct TransactionAnswer {
     pub committed: bool,
