--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -79,7 +79,7 @@
     phase: Phase,
     /// Worst verdict of the attempts before the newest.
     earlier_verdict: Verdict,
-    /// Earliest time to retry after that these attempts were refused with.
+    /// The earliest retry time in the refusals of these attempts.
     earliest_retry: Option<Millis>,
 }
 
--- a/crates/core/src/direct.rs
+++ b/crates/core/src/direct.rs
@@ -10,8 +10,9 @@
 //! - [`unconfirmed`]: rows that the platform's store lost, until they are written again or lapse.
 //! - [`members`]: membership of the gateways and failure detection.
 //! - [`pool`]: choice of the backend server for a request.
-//! - [`server_notices`]: back-off that a backend server asks of this gateway, or its request to get no more.
-//! - [`advertised_limit`], [`permits`]: limits that backend servers advertise for all gateways together.
+//! - [`server_notices`]: notices of a backend server that it backs off or is leaving.
+//! - [`advertised_limit`], [`permits`]: limits that backend servers advertise for all gateways
+//!   together.
 //! - [`slow_servers`]: reports of slow backend servers, which gateways gossip.
 //! - [`admission`]: number of streams that a service can carry, from the duration of its passes.
 //! - [`attempts`]: what follows an attempt: an answer, another attempt, or a refusal.
@@ -28,7 +29,7 @@
 //! - [`fencing`]: tokens by which servers recognise the present leader.
 //! - [`relays`]: gateways that relay orders which no machine of the group is to send.
 //! - [`passes`]: duration of the passes of groups.
-//! - [`events`]: a stream of events, cut between events only.
+//! - [`events`]: a stream of events, split between events only.
 
 pub mod admission;
 pub mod advertised_limit;
--- a/crates/core/src/direct/advertised_limit.rs
+++ b/crates/core/src/direct/advertised_limit.rs
@@ -26,12 +26,12 @@
 /// Maximum wait for the answer to a request for permits.
 pub const ASK_TIMEOUT: Millis = Millis(100);
 
-/// Minimum and maximum time until permits are requested again if none were granted: what is granted
-/// may change.
+/// Minimum and maximum time until permits are requested again if none were granted: the answer may
+/// differ by then.
 const ASK_RETRY_BOUNDS: (Millis, Millis) = (Millis(20), Millis(500));
 
-/// Maximum time to the next permit that is reported to callers. Of a longer one, only that it is
-/// long is known.
+/// Maximum time to the next permit that is reported to callers: a longer estimate only shows that
+/// the wait is long.
 const MAX_REPORTED_WAIT: Millis = Millis(10_000);
 
 /// Time for which a gateway requests permits in advance, by the number of requests that it sent
@@ -204,8 +204,8 @@
     }
 
     /// Takes a permit for one request, or returns what is to be done to get one. `ramp_up_rate` is
-    /// the maximum rate during the ramp-up after a back-off. It does not hold if no other server is
-    /// left.
+    /// the maximum rate during the ramp-up after a back-off. It is not enforced if no other server
+    /// is left.
     pub fn take(&mut self, ramp_up_rate: Option<Rate>, now: Millis) -> Permission {
         let is_limited = self.limit().is_some();
         if !is_limited && ramp_up_rate.is_none() {
@@ -227,8 +227,14 @@
         self.permits_held > 0 && self.valid_until > now
     }
 
-    /// Applies the answer to a request for permits that was made at `asked_at`.
-    pub fn apply_grant(&mut self, permits: u32, retry_in: Millis, asked_at: Millis, now: Millis) {
+    /// Applies the answer to a request for permits that was made at `requested_at`.
+    pub fn apply_grant(
+        &mut self,
+        permits: u32,
+        retry_in: Millis,
+        requested_at: Millis,
+        now: Millis,
+    ) {
         self.awaiting_until = Millis::ZERO;
         if permits == 0 {
             let (shortest, longest) = ASK_RETRY_BOUNDS;
@@ -237,7 +243,7 @@
             return;
         }
         self.permits_held = permits;
-        self.valid_until = asked_at + PERMIT_VALIDITY;
+        self.valid_until = requested_at + PERMIT_VALIDITY;
     }
 
     fn recent_by(&self, now: Millis) -> f64 {
--- a/crates/core/src/direct/crashes.rs
+++ b/crates/core/src/direct/crashes.rs
@@ -4,9 +4,9 @@
 //!
 //! One request can crash each server that begins to run it, and can be retried at any gateway under
 //! a new id. Each gateway reports which requests were at a server at the time of its crash. All
-//! gateways refuse a request that was at several crashes, for a limited time. It explains these
-//! crashes, so they do not count against the other requests there. A request that completes at any
-//! gateway is cleared.
+//! gateways refuse a request that was at several crashes, for a limited time. These crashes are
+//! attributed to it, so they do not count against the other requests there. A request that
+//! completes at any gateway is cleared.
 //!
 //! A request that a server was just beginning to run at the time of its crash is held back at once,
 //! until the server and its group can be back. If it was the cause, it would otherwise crash
@@ -40,9 +40,9 @@
     /// How long a request is held back after a crash at which it was in [`Stage::Starting`]. A
     /// server of the users' deployment is back within 3.3 s, and its group opens 0.6 s later.
     pub hold_back: Millis,
-    /// Upper bound of an extra hold-back that differs between gateways. Otherwise they would all
-    /// send what arrived meanwhile at once, and crash one server each. A crash report reaches other
-    /// gateways within some tens of milliseconds.
+    /// Upper bound of an extra hold-back that differs between gateways. Otherwise all gateways
+    /// would send the requests that arrived meanwhile at the same time, and each would crash one
+    /// server. A crash report reaches other gateways within some tens of milliseconds.
     pub hold_back_spread: Millis,
     /// How long a report counts: as long as a person needs to examine what was refused. A request
     /// that still crashes servers afterwards causes three more crashes in each such period.
@@ -148,7 +148,8 @@
     Unchanged,
     /// Something was new, and can wait for the next gossip round.
     Changed,
-    /// A request held back or at several crashes was added or cleared: to be sent at once.
+    /// A request that is held back, or was at several crashes, was added or cleared: other gateways
+    /// are to receive the change at once.
     Urgent,
 }
 
--- a/crates/core/src/direct/expert_layout.rs
+++ b/crates/core/src/direct/expert_layout.rs
@@ -26,8 +26,8 @@
 /// Gain that a copy must bring for each second that it takes; the upper bound applies from 75 ms
 /// on. Where a copy takes 18 ms, on groups of 96 ranks, plans end at a skew of 1.25 instead of 1.6.
 /// The score of a day with many shifts is 0.529 and 0.663 instead of 0.473 and 0.508 (two seeds,
-/// without processor time). With 0.15 it is 0.474 for the first seed, since
-/// passes are longer while ranks copy.
+/// without processor time). With 0.15 it is 0.474 for the first seed, since passes are longer while
+/// ranks copy.
 const COPY_COST_PER_SECOND: f64 = 0.4;
 
 /// Gain that each switch must bring, as a fraction of the current peak.
--- a/crates/core/src/direct/members.rs
+++ b/crates/core/src/direct/members.rs
@@ -1,6 +1,6 @@
 //! Membership table of the gateways: records from peers and rows of the platform's table go in.
 //! It keeps the newest heartbeat of each gateway and the time since that gateway was alive.
-//! The table decides which gateways callers get, which one leads and which follow the store closely.
+//! It decides which gateways callers get, which one leads and which follow the store closely.
 //!
 //! Each gateway increments a heartbeat and gossips it to a few peers, with the newest heartbeats
 //! that it knows of all others. A gateway whose heartbeat does not advance is suspected and is no
@@ -105,11 +105,11 @@
     /// Applies a newer record. The smaller of both ages holds: a gateway that is alive now was
     /// alive at all earlier moments that peers reported.
     fn apply(&mut self, received: Member, age: Millis, now: Millis) {
-        let least = self.age(now).map_or(age, |known| known.min(age));
+        let min_age = self.age(now).map_or(age, |known| known.min(age));
         *self = Entry {
             member: received,
             updated_at: now,
-            age_at_update: Some(least),
+            age_at_update: Some(min_age),
             unreachable: false,
         };
     }
@@ -250,10 +250,12 @@
     /// Applies heartbeats that another gateway sent, and returns the incarnations that are not
     /// known here: their records have to be requested.
     pub fn apply_heartbeats(&mut self, beats: &[Heartbeat], now: Millis) -> Vec<IncarnationId> {
-        let (own, forget) = (self.own.incarnation_id(), self.config.remove_after);
+        let (own, remove_after) = (self.own.incarnation_id(), self.config.remove_after);
         let mut unknown = Vec::new();
         // A record that would be removed at once is not requested.
-        for beat in beats.iter().filter(|beat| beat.incarnation_id != own && beat.age < forget) {
+        for beat in
+            beats.iter().filter(|beat| beat.incarnation_id != own && beat.age < remove_after)
+        {
             let known = self
                 .names_by_id
                 .get(&beat.incarnation_id)
@@ -403,8 +405,8 @@
     /// alive counts, so that all gateways remove them at about the same time. Gateways that are
     /// known from the platform's table alone stay as long as their rows.
     pub fn remove_expired(&mut self, now: Millis) {
-        let forget = self.config.remove_after;
-        self.others.retain(|_, entry| entry.age(now).is_none_or(|age| age < forget));
+        let remove_after = self.config.remove_after;
+        self.others.retain(|_, entry| entry.age(now).is_none_or(|age| age < remove_after));
         self.remove_stale_ids();
     }
 
--- a/crates/core/src/direct/overtaken.rs
+++ b/crates/core/src/direct/overtaken.rs
@@ -19,7 +19,8 @@
 /// When a request counts as overtaken.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Minimum wait. Plain requests at the users take 60 ms, and one of a hundred takes 300 ms.
+    /// Minimum wait. In the users' deployments plain requests take 60 ms, and one in a hundred
+    /// takes 300 ms.
     pub min_wait: Millis,
     /// Minimum wait as a multiple of the mean time to an answer.
     pub min_wait_factor: f64,
@@ -41,8 +42,8 @@
     }
 }
 
-/// Answers that are stored: more than arrive in the time in which a request is overtaken.
-const MAX_REMEMBERED: usize = 32;
+/// Maximum number of stored answers: more than arrive in the time in which a request is overtaken.
+const MAX_HEADS: usize = 32;
 
 /// Weight of the newest answer in the mean time to an answer.
 const NEWEST_WEIGHT: f64 = 1.0 / 16.0;
@@ -84,7 +85,7 @@
         let took_ms = now.since(sent_at).0 as f64;
         let weight = if self.mean_ms == 0.0 { 1.0 } else { NEWEST_WEIGHT };
         self.mean_ms += (took_ms - self.mean_ms) * weight;
-        if self.newest.len() == MAX_REMEMBERED {
+        if self.newest.len() == MAX_HEADS {
             self.newest.pop_front();
         }
         self.newest.push_back(Head { server, sent_at, received_at: now });
--- a/crates/core/src/direct/permits.rs
+++ b/crates/core/src/direct/permits.rs
@@ -39,7 +39,7 @@
 /// Interval at which a gateway that requests no permits renews the delegation of its share.
 pub const DELEGATION_INTERVAL: Millis = Millis(600);
 
-/// A bucket holds at most one permit, and the permits of this many seconds.
+/// Time whose permits a bucket can accumulate, in addition to one permit.
 const BURST_S: f64 = 0.25;
 
 /// Time without a request for a subject after which its bucket is removed. A limit that is
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Called when a gateway is asked for permits. Returns whether the own share is delegated to
-    /// it.
+    /// Delegates the own share to the gateway that this one requests permits from, which may be
+    /// this one, unless the share is reserved for another. Returns whether it is delegated to it.
     pub fn delegate_share(&mut self, to: IncarnationId, now: Millis) -> bool {
         if self.delegated_to != Some(to) && now < self.reserved_until {
             return false;
--- a/crates/core/src/direct/pool.rs
+++ b/crates/core/src/direct/pool.rs
@@ -83,7 +83,7 @@
 pub struct Config {
     /// Selection by turns and load reports.
     pub routing: routing::Config,
-    /// Cooldown after a refusal without a free slot: about the time of one request's prompt.
+    /// Cooldown after a refusal because no slot is free: about the time of one request's prompt.
     pub full_cooldown: Millis,
     /// Cooldown after a refusal by a stalled group.
     pub stalled_cooldown: Millis,
@@ -144,8 +144,8 @@
     address_lost: bool,
     /// Its group is stalled, as its engine reported.
     stalled: bool,
-    /// Back-off and leaving as the server requested them.
-    asked: ServerNotices,
+    /// Its notices: a back-off that it requested, and that it is leaving.
+    notices: ServerNotices,
 }
 
 /// The listed servers of a service. Both arrays have the same order.
@@ -244,7 +244,7 @@
             replaced: false,
             address_lost: false,
             stalled: false,
-            asked: ServerNotices::default(),
+            notices: ServerNotices::default(),
         };
         let key = self.servers.push(server);
         self.add_to_service(key);
@@ -352,15 +352,15 @@
     /// reports.
     pub fn busy_fraction(&self, service: &str) -> f64 {
         let Some(found) = self.services.get(service) else { return 0.0 };
-        let (mut taken, mut slots) = (0, 0);
+        let (mut occupied, mut slots) = (0, 0);
         for (key, candidate) in found.servers.iter().zip(&found.candidates) {
             let server = &self.servers[*key];
             if server.is_open() {
-                taken += candidate.report.running_requests + candidate.report.queued_requests;
+                occupied += candidate.report.running_requests + candidate.report.queued_requests;
                 slots += server.listed.slots;
             }
         }
-        f64::from(taken) / f64::from(slots.max(1))
+        f64::from(occupied) / f64::from(slots.max(1))
     }
 
     /// Number of requests that this gateway has in flight at a server or is about to send to it.
@@ -376,8 +376,9 @@
         self.servers[key].slow_until > now
     }
 
-    /// Whether a service has a preferred server with a permit available, other than `server` and
-    /// those in `tried`. A preferred server is neither in cooldown nor slow.
+    /// Whether a service has a preferred server that is not at its advertised limit, other than
+    /// `server` and those in `tried`. A preferred server is available, not in cooldown, not slow,
+    /// and may get one more request during its ramp-up.
     pub fn has_alternative(
         &self,
         service: &str,
@@ -397,7 +398,7 @@
     /// A server that advertises a limit requires a permit in addition.
     pub fn accepts(&self, key: Key<Server>, now: Millis) -> bool {
         let server = &self.servers[key];
-        server.is_open() && server.asked.backing_off_until(now).is_none()
+        server.is_open() && server.notices.backing_off_until(now).is_none()
     }
 
     /// The earliest time at which a server of a service accepts requests again, if all its servers
@@ -417,7 +418,7 @@
 
     /// Whether a server is backing off at its own request.
     pub fn is_backing_off(&self, key: Key<Server>, now: Millis) -> bool {
-        self.servers[key].asked.backing_off_until(now).is_some()
+        self.servers[key].notices.backing_off_until(now).is_some()
     }
 
     /// Whether a server listed at an address is to get orders only from its own machine, because it
@@ -431,7 +432,7 @@
 
     /// Records that a server requested a back-off of length `span`.
     pub fn back_off(&mut self, key: Key<Server>, span: Millis, now: Millis) {
-        self.servers[key].asked.back_off(span, now);
+        self.servers[key].notices.back_off(span, now);
         self.limits.entry(key).or_default();
     }
 
@@ -439,14 +440,14 @@
     pub fn mark_leaving(&mut self, key: Key<Server>) -> bool {
         let server = &mut self.servers[key];
         let is_new = !server.is_leaving();
-        server.asked.set_leaving();
+        server.notices.set_leaving();
         is_new
     }
 
     /// Records that a server answered a request that it had accepted.
     pub fn record_answer(&mut self, key: Key<Server>) {
         let server = &mut self.servers[key];
-        server.asked.record_answer(server.listed.slots);
+        server.notices.record_answer(server.listed.slots);
     }
 
     /// Whether the platform lists a server, leaving or not, and no other server is known to own its
@@ -552,19 +553,19 @@
 
     /// Whether it accepts new requests now: open, not stalled and not backing off.
     fn is_available(&self, now: Millis) -> bool {
-        self.is_open() && !self.stalled && self.asked.backing_off_until(now).is_none()
+        self.is_open() && !self.stalled && self.notices.backing_off_until(now).is_none()
     }
 
     /// Whether it is available, not in cooldown, not slow, and its ramp-up allows one more request.
     fn is_preferred(&self, requests: u32, now: Millis) -> bool {
         let is_healthy = self.cooldown_until.max(self.slow_until) <= now;
-        is_healthy && self.is_available(now) && self.asked.admits_one_more(requests)
+        is_healthy && self.is_available(now) && self.notices.admits_one_more(requests)
     }
 
     /// Whether it is leaving, by its row or by its own report. The report is final: a later row
     /// does not revoke it.
     pub fn is_leaving(&self) -> bool {
-        self.listed.leaving || self.asked.announced_leaving()
+        self.listed.leaving || self.notices.announced_leaving()
     }
 
     /// Whether it is listed, owns its address and is not leaving.
--- a/crates/core/src/direct/pool/limits.rs
+++ b/crates/core/src/direct/pool/limits.rs
@@ -19,19 +19,23 @@
 
 impl Pool {
     /// Applies a limit that a server advertised, or its withdrawal.
-    pub fn apply_limit(&mut self, key: Key<Server>, said: LimitAdvertisement) -> LimitMergeOutcome {
+    pub fn apply_limit(
+        &mut self,
+        key: Key<Server>,
+        advertisement: LimitAdvertisement,
+    ) -> LimitMergeOutcome {
         let limited = self.limits.entry(key).or_default();
-        limited.apply(said)
+        limited.apply(advertisement)
     }
 
     /// [`Pool::apply_limit`] for a server by its incarnation. An unknown one is ignored.
     pub fn apply_limit_of(
         &mut self,
         incarnation: ServerIncarnation,
-        said: LimitAdvertisement,
+        advertisement: LimitAdvertisement,
     ) -> LimitMergeOutcome {
         match self.by_incarnation.get(&incarnation).copied() {
-            Some(key) => self.apply_limit(key, said),
+            Some(key) => self.apply_limit(key, advertisement),
             None => LimitMergeOutcome::Unchanged,
         }
     }
@@ -39,12 +43,14 @@
     /// Limits of the listed servers to gossip: advertised ones, and recent withdrawals.
     pub fn advertised_limits(&self, now: Millis) -> Vec<(ServerIncarnation, LimitAdvertisement)> {
         let listed = self.limits.iter().filter(|(key, _)| self.is_present(**key));
-        let said = listed
+        let advertised = listed
             .filter_map(|(key, limited)| Some((self.incarnation(*key), limited.advertisement()?)));
-        said.filter(|(_, said)| {
-            said.limit.is_some() || now.since(said.latest) < NO_LIMIT_GOSSIP_PERIOD
-        })
-        .collect()
+        advertised
+            .filter(|(_, advertisement)| {
+                advertisement.limit.is_some()
+                    || now.since(advertisement.latest) < NO_LIMIT_GOSSIP_PERIOD
+            })
+            .collect()
     }
 
     /// Whether a listed server advertises a limit.
@@ -78,13 +84,19 @@
 
     /// The rate at which all gateways together send to a server during its ramp-up.
     pub fn ramp_up_rate(&self, key: Key<Server>, now: Millis) -> Option<Rate> {
-        self.servers[key].asked.ramp_up_rate(now)
+        self.servers[key].notices.ramp_up_rate(now)
     }
 
-    /// Records the answer to a request for permits that was sent at `asked_at`.
-    pub fn record_grant(&mut self, key: Key<Server>, given: Grant, asked_at: Millis, now: Millis) {
+    /// Records the answer to a request for permits that was sent at `requested_at`.
+    pub fn record_grant(
+        &mut self,
+        key: Key<Server>,
+        grant: Grant,
+        requested_at: Millis,
+        now: Millis,
+    ) {
         if let Some(limited) = self.limits.get_mut(&key) {
-            limited.apply_grant(given.permits, given.retry_in, asked_at, now);
+            limited.apply_grant(grant.permits, grant.retry_in, requested_at, now);
         }
     }
 
@@ -113,7 +125,7 @@
 
     /// The time until which a server is sent nothing, because it is backing off or has no permit.
     pub(super) fn unavailable_until(&self, key: Key<Server>, now: Millis) -> Option<Millis> {
-        let backing_off_until = self.servers[key].asked.backing_off_until(now);
+        let backing_off_until = self.servers[key].notices.backing_off_until(now);
         let no_permit_until = self.limited(key).and_then(|limited| limited.blocked_until(now));
         backing_off_until.max(no_permit_until)
     }
--- a/crates/core/src/direct/relays.rs
+++ b/crates/core/src/direct/relays.rs
@@ -16,7 +16,8 @@
 /// Time-outs of relaying.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Time for which a gateway that did not answer is skipped. Freezes at the users last 3 to 5 s.
+    /// Time for which a gateway that did not answer is skipped. In the users' deployments freezes
+    /// last 3 to 5 s.
     pub skip_for: Millis,
 }
 
--- a/crates/core/src/direct/server_notices.rs
+++ b/crates/core/src/direct/server_notices.rs
@@ -2,10 +2,10 @@
 //! Input: the notices and the answers of the server. State: the current back-off and the ramp-up
 //! after it. Decides whether the server is sent requests, and how many while it ramps up.
 //!
-//! Other back-offs are this gateway's own decision: they affect which server is preferred, and a
-//! server that is backing off is still a last resort. A notice of the server is binding: the server
-//! is sent nothing, even if no other server is left, and no report ends it. It applies to one
-//! incarnation of the server, and to this gateway only.
+//! A cooldown is this gateway's own decision: it affects which server is preferred, and a server in
+//! cooldown is still a last resort. A notice of the server is binding: the server is sent nothing,
+//! even if no other server is left, and no report ends this. A notice applies to one incarnation of
+//! the server, and to this gateway only.
 
 use crate::clock::Millis;
 use crate::direct::advertised_limit::Rate;
@@ -35,9 +35,9 @@
     if !text.starts_with(|first: char| first.is_ascii_digit() || first == '.') {
         return None;
     }
-    let asked_ms = text.parse::<f64>().ok()? * 1_000.0;
+    let span_ms = text.parse::<f64>().ok()? * 1_000.0;
     // A number that is too large parses as infinite; a fraction of a millisecond is rounded up.
-    (asked_ms > 0.0).then(|| Millis(asked_ms.min(MAX_BACK_OFF.0 as f64).ceil() as u64))
+    (span_ms > 0.0).then(|| Millis(span_ms.min(MAX_BACK_OFF.0 as f64).ceil() as u64))
 }
 
 /// Notices of one incarnation of a server.
--- a/crates/core/src/direct/unconfirmed.rs
+++ b/crates/core/src/direct/unconfirmed.rs
@@ -19,7 +19,7 @@
 const MISSING_ROW_HOLD: Millis = Millis(2_000);
 
 /// Time for which the copy's value of a row in an older form is ignored. The row of a server that
-/// is gone lapses after three heartbeats, which are 3.6 s at the users.
+/// is gone lapses after three heartbeats, which are 3.6 s in the users' deployments.
 const OLDER_ROW_HOLD: Millis = Millis(5_000);
 
 #[derive(Clone, Debug)]
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -319,14 +319,14 @@
     }
 
     /// Applies a limit that the backend server advertised, or its withdrawal.
-    pub fn apply_limit(&mut self, said: LimitAdvertisement) {
+    pub fn apply_limit(&mut self, advertisement: LimitAdvertisement) {
         // Without any limit before, the absence of a limit changes nothing.
         let was_limited = self.is_limited();
-        if said.limit.is_some() || was_limited {
-            self.advertised_limit.apply(said);
+        if advertisement.limit.is_some() || was_limited {
+            self.advertised_limit.apply(advertisement);
         }
         if !was_limited {
-            self.permits = TokenBucket::with_level(0.0, said.latest);
+            self.permits = TokenBucket::with_level(0.0, advertisement.latest);
         }
     }
 
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -20,7 +20,7 @@
     pub version: u64,
     /// Name of the holder.
     pub holder: String,
-    /// Grows with each change of the holder.
+    /// Grows with each change of the holder, and after [`Lease::require_new_epoch`].
     pub epoch: u64,
 }
 
--- a/crates/core/src/placement/search.rs
+++ b/crates/core/src/placement/search.rs
@@ -263,8 +263,9 @@
                 true => self.extra_load_without(layout, shares, *removed),
                 false => 0.0,
             };
-            let rest = self.load_after_removal(layout, shares, speeds, *removed, [other, hot]);
-            if top - rest <= best.gain {
+            let others_load =
+                self.load_after_removal(layout, shares, speeds, *removed, [other, hot]);
+            if top - others_load <= best.gain {
                 continue;
             }
             for expert in layout.on(hot) {
@@ -286,7 +287,7 @@
                 }
                 best.consider(
                     Change::Load { at: (other, slot), expert: *expert },
-                    top - after.max(rest),
+                    top - after.max(others_load),
                 );
             }
         }
@@ -305,8 +306,8 @@
             if !self.can_remove(layout, *removed) {
                 continue;
             }
-            let rest = self.load_after_removal(layout, shares, speeds, *removed, [hot; 2]);
-            if top - rest <= best.gain {
+            let others_load = self.load_after_removal(layout, shares, speeds, *removed, [hot; 2]);
+            if top - others_load <= best.gain {
                 continue;
             }
             for (index, share) in shares.iter().enumerate() {
@@ -317,7 +318,10 @@
                 let new_each = share / f64::from(layout.replicas(expert) + 1);
                 let change = new_each - self.replica_load_of(*removed);
                 let hot_after = top + change / speed(speeds, hot);
-                best.consider(Change::Load { at: (hot, slot), expert }, top - hot_after.max(rest));
+                best.consider(
+                    Change::Load { at: (hot, slot), expert },
+                    top - hot_after.max(others_load),
+                );
             }
         }
     }
--- a/crates/core/tests/asked.rs
+++ b/crates/core/tests/asked.rs
@@ -182,11 +182,17 @@
         let may_send = match pool.take_permit(chosen, Millis(now)) {
             Permission::Ask(wanted) => {
                 let ramp_up_rate = pool.ramp_up_rate(a, Millis(now)).expect("it ramps up");
-                let life = pool.incarnation(chosen);
-                let first = 1.0;
+                let incarnation = pool.incarnation(chosen);
+                let initial_level = 1.0;
                 let gateways = Some(GATEWAYS);
-                let granted =
-                    permits.grant(life, ramp_up_rate, wanted, first, gateways, Millis(now));
+                let granted = permits.grant(
+                    incarnation,
+                    ramp_up_rate,
+                    wanted,
+                    initial_level,
+                    gateways,
+                    Millis(now),
+                );
                 pool.record_grant(chosen, granted, Millis(now), Millis(now));
                 granted.permits > 0 && pool.take_permit(chosen, Millis(now)) != Permission::None
             }
@@ -218,7 +224,7 @@
 #[test]
 fn a_fleet_keeps_what_servers_ask_and_refuses_nothing_else() {
     for seed in 0..SEEDS {
-        let outcome = Fleet::new(seed, NoticesApplied::All).play();
+        let outcome = Fleet::new(seed, NoticesApplied::All).run_to_end();
         assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
         assert!(
             outcome.back_offs > 20 && outcome.refused > 0 && outcome.leaving_notices > 0,
@@ -230,8 +236,8 @@
 #[test]
 fn the_model_finds_gateways_that_do_not_listen() {
     for applied in [NoticesApplied::NoBackOff, NoticesApplied::NoLeaving] {
-        let found =
-            (0..SEEDS).filter(|seed| !Fleet::new(*seed, applied).play().violations.is_empty());
+        let found = (0..SEEDS)
+            .filter(|seed| !Fleet::new(*seed, applied).run_to_end().violations.is_empty());
         assert_eq!(found.count() as u64, SEEDS, "{applied:?}");
     }
 }
--- a/crates/core/tests/broken_off.rs
+++ b/crates/core/tests/broken_off.rs
@@ -34,7 +34,7 @@
 struct Gateway {
     now: Millis,
     crashes: Crashes,
-    broken: BTreeMap<u64, TruncatedAnswers>,
+    truncated: BTreeMap<u64, TruncatedAnswers>,
     rng: ChaCha8Rng,
 }
 
@@ -42,25 +42,25 @@
     fn send(&mut self, fingerprint: Fingerprint, server: u64, is_up: bool, stage: Stage) {
         let (now, ran) = (self.now, Millis(self.rng.random_range(5..80)));
         if is_up && fingerprint != CULPRIT {
-            if let Some(broken) = self.broken.get_mut(&server) {
-                broken.record_answer(now - ran);
+            if let Some(truncated) = self.truncated.get_mut(&server) {
+                truncated.record_answer(now - ran);
             }
             self.crashes.record_completed(fingerprint, now);
             return;
         }
         let stage = if is_up { stage } else { Stage::Waiting };
-        let broken = self.broken.entry(server).or_default();
-        broken.add(Suspect { fingerprint, ran, stage }, now);
+        let truncated = self.truncated.entry(server).or_default();
+        truncated.add(Suspect { fingerprint, ran, stage }, now);
     }
 
     /// A new server list arrives, without these servers.
     fn unlist(&mut self, servers: &[u64]) {
         for server in servers {
-            let Some(broken) = self.broken.get_mut(server) else { continue };
-            if broken.is_expired(self.now) {
+            let Some(truncated) = self.truncated.get_mut(server) else { continue };
+            if truncated.is_expired(self.now) {
                 continue;
             }
-            let (at, suspects) = broken.confirm_crash();
+            let (at, suspects) = truncated.confirm_crash();
             let (server, reporter) = (ServerIncarnation(*server), Reporter(0));
             self.crashes
                 .record(&Crash { server, reporter, age: self.now.since(at), suspects }, self.now);
@@ -80,7 +80,7 @@
         let crash_at: Vec<Millis> =
             (1..SERVERS).map(|_| begin + Millis(10 * rng.random_range(1..150))).collect();
         let crashes = Crashes::new(Config::default(), Reporter(0));
-        let mut gateway = Gateway { now: begin, crashes, broken: BTreeMap::new(), rng };
+        let mut gateway = Gateway { now: begin, crashes, truncated: BTreeMap::new(), rng };
         while gateway.now < end {
             gateway.now = gateway.now + TICK;
             let now = gateway.now;
@@ -110,19 +110,19 @@
 /// Guards against a crash time taken from the last truncated answers, once the first are removed.
 #[test]
 fn a_crash_is_dated_by_the_first_answer_that_broke_off_since_the_server_lived() {
-    let mut broken = TruncatedAnswers::default();
+    let mut truncated = TruncatedAnswers::default();
     let suspect = |number| Suspect {
         fingerprint: Fingerprint(number),
         ran: Millis(20),
         stage: Stage::Waiting,
     };
-    broken.add(suspect(1), Millis(1_000));
-    broken.record_answer(Millis(1_500));
-    broken.add(suspect(2), Millis(2_000));
+    truncated.add(suspect(1), Millis(1_000));
+    truncated.record_answer(Millis(1_500));
+    truncated.add(suspect(2), Millis(2_000));
     for number in 3..20 {
-        broken.add(suspect(number), Millis(2_000 + 900 * number));
+        truncated.add(suspect(number), Millis(2_000 + 900 * number));
     }
-    let (crashed_at, there) = broken.confirm_crash();
+    let (crashed_at, there) = truncated.confirm_crash();
     assert_eq!(crashed_at, Millis(2_000));
     assert!(there.is_empty(), "the request that was there is no longer stored: {there:?}");
 }
--- a/crates/core/tests/crash_fleet/mod.rs
+++ b/crates/core/tests/crash_fleet/mod.rs
@@ -51,21 +51,21 @@
     servers: usize,
     culprits: u64,
     /// Mean time between two crashes that no request causes.
-    ordinary: Millis,
+    ordinary_interval: Millis,
     /// Mean time between two disturbances: gateways are isolated from the others, or restart.
-    disturbances: Millis,
+    disturbance_interval: Millis,
 }
 
 impl Plan {
     /// Parameters drawn from a seed.
-    pub fn drawn(seed: u64) -> Plan {
+    pub fn from_seed(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         Plan {
             gateways: rng.random_range(2..12),
             servers: rng.random_range(8..32),
             culprits: rng.random_range(1..4),
-            ordinary: Millis(rng.random_range(1_500..20_000)),
-            disturbances: Millis(rng.random_range(4_000..30_000)),
+            ordinary_interval: Millis(rng.random_range(1_500..20_000)),
+            disturbance_interval: Millis(rng.random_range(4_000..30_000)),
             rng,
         }
     }
@@ -111,12 +111,12 @@
         now.since(self.started_at)
     }
 
-    fn is_in_touch(&self, now: Millis) -> bool {
+    fn is_connected(&self, now: Millis) -> bool {
         now >= self.started_at + CONTACT_TIME
             && (self.isolated_until == Millis::ZERO || now >= self.isolated_until + CONTACT_TIME)
     }
 
-    fn note(&mut self, change: MergeOutcome) {
+    fn record_outcome(&mut self, change: MergeOutcome) {
         if change == MergeOutcome::Urgent {
             self.urgent = 2;
         }
@@ -169,17 +169,17 @@
     }
 
     /// Runs the simulation.
-    pub fn play(mut self) -> Outcome {
+    pub fn run_to_end(mut self) -> Outcome {
         let end = self.now + END;
         while self.now < end {
             self.now = self.now + TICK;
             self.arrive();
             self.run();
-            if self.happens(self.plan.ordinary) {
+            if self.happens(self.plan.ordinary_interval) {
                 let server = self.plan.rng.random_range(0..self.servers.len());
                 self.crash(server, None);
             }
-            if self.happens(self.plan.disturbances) {
+            if self.happens(self.plan.disturbance_interval) {
                 self.disturb();
             }
             self.gossip();
@@ -267,7 +267,7 @@
         if is_culprit {
             let crashed = self.crashes_by.get(&fingerprint).and_then(|times| times.get(2).copied());
             let is_late = crashed.is_some_and(|third| now > third + CONTACT_TIME);
-            if is_late && sender.is_in_touch(now) {
+            if is_late && sender.is_connected(now) {
                 *self.outcome.sent_late.entry(fingerprint).or_default() += 1;
             }
         }
@@ -299,7 +299,7 @@
             let gateway = &mut self.gateways[run.gateway];
             let clock = gateway.clock(now);
             let change = gateway.crashes.record_completed(run.fingerprint, clock);
-            gateway.note(change);
+            gateway.record_outcome(change);
             if change != MergeOutcome::Unchanged {
                 self.stored.remove(&run.fingerprint);
             }
@@ -339,7 +339,7 @@
             let gateway = &mut self.gateways[run.gateway];
             let clock = gateway.clock(now);
             let change = gateway.crashes.record(&crash, clock);
-            gateway.note(change);
+            gateway.record_outcome(change);
             if gateway.crashes.repeat_suspects(clock).contains(&run.fingerprint) {
                 let known = gateway.crashes.crashes_of(run.fingerprint, clock);
                 let dated = known.into_iter().map(|crash| (crash.clone(), now.since(crash.age)));
@@ -363,8 +363,8 @@
         }
         // One gateway restarts, or now and then all of them.
         let all = self.plan.rng.random_bool(0.2);
-        let anew = if all { (0..self.gateways.len()).collect() } else { vec![which] };
-        for which in anew {
+        let restarted = if all { (0..self.gateways.len()).collect() } else { vec![which] };
+        for which in restarted {
             let mut gateway = Gateway::starting(which, now);
             for (crash, at) in self.stored.values().flatten() {
                 let crash = Crash { age: now.since(*at), ..crash.clone() };
@@ -378,20 +378,20 @@
 
     fn gossip(&mut self) {
         let now = self.now;
-        for asks in 0..self.gateways.len() {
-            let due = self.gateways[asks].next_round <= now || self.gateways[asks].urgent > 0;
-            if !due || self.gateways[asks].isolated_until > now {
+        for starter in 0..self.gateways.len() {
+            let due = self.gateways[starter].next_round <= now || self.gateways[starter].urgent > 0;
+            if !due || self.gateways[starter].isolated_until > now {
                 continue;
             }
-            let gateway = &mut self.gateways[asks];
+            let gateway = &mut self.gateways[starter];
             gateway.urgent = gateway.urgent.saturating_sub(1);
             gateway.next_round = now + GOSSIP_INTERVAL;
-            let answers = self.plan.rng.random_range(0..self.gateways.len());
+            let peer = self.plan.rng.random_range(0..self.gateways.len());
             // One gossip round in ten is lost.
             let lost = self.plan.rng.random_bool(0.1);
-            if answers != asks && self.gateways[answers].isolated_until <= now && !lost {
-                self.send_reports(asks, answers);
-                self.send_reports(answers, asks);
+            if peer != starter && self.gateways[peer].isolated_until <= now && !lost {
+                self.send_reports(starter, peer);
+                self.send_reports(peer, starter);
             }
         }
     }
@@ -409,11 +409,11 @@
         for crash in lacking {
             let change =
                 receiver.crashes.record(&Crash { age: crash.age + waited, ..crash }, clock);
-            receiver.note(change);
+            receiver.record_outcome(change);
         }
         for one in cleared {
             let change = receiver.crashes.clear(Cleared { age: one.age + waited, ..one }, clock);
-            receiver.note(change);
+            receiver.record_outcome(change);
         }
     }
 }
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -186,7 +186,7 @@
 #[test]
 fn a_fleet_that_hears_late_stops_what_crashes_servers_and_nothing_else() {
     for seed in 0..SEEDS {
-        let outcome = Fleet::new(Plan::drawn(seed)).play();
+        let outcome = Fleet::new(Plan::from_seed(seed)).run_to_end();
         for (culprit, sent) in outcome.sent_late {
             assert!(sent <= 3, "seed {seed}: {culprit:?} was sent {sent} times more");
         }
--- a/crates/core/tests/departed.rs
+++ b/crates/core/tests/departed.rs
@@ -127,9 +127,9 @@
         value: value.map(str::to_owned),
     };
     let mut replica = Replica::default();
-    let on_its_way =
+    let late_update =
         Update { revision: 1.into(), whole: false, changes: vec![row(0, 1, Some("ready"))] };
-    replica.apply(&on_its_way);
+    replica.apply(&late_update);
     // More removals than are stored.
     for number in 0..400 {
         let revision = 2 + 2 * number;
@@ -143,7 +143,7 @@
         });
     }
     assert_eq!(replica.rows().count(), 0);
-    assert!(replica.apply(&on_its_way).changed.is_empty());
+    assert!(replica.apply(&late_update).changed.is_empty());
     assert_eq!(replica.get("s0"), None, "it was removed long ago");
 }
 
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -228,8 +228,8 @@
     let mut attempts = Attempts::new(2, true);
     assert_eq!(attempts.after_failure(key(), Fate::MayHaveRun, || true), Next::Retry);
     assert!(matches!(attempts.after_failure(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
-    let mut poor = Attempts::new(2, true);
-    assert!(matches!(poor.after_failure(key(), Fate::NotRun, || false), Next::GiveUp(_)));
+    let mut without_budget = Attempts::new(2, true);
+    assert!(matches!(without_budget.after_failure(key(), Fate::NotRun, || false), Next::GiveUp(_)));
     let mut unsent = Attempts::new(2, true);
     for _ in 0..3 {
         assert_eq!(unsent.after_failure(key(), Fate::NotSent, || false), Next::Retry);
@@ -275,7 +275,7 @@
     assert!(!pool.is_slow(b, Millis(9_000)));
 }
 
-fn finding(fence: u64, number: u64, age_ms: u64) -> SlowServerReport {
+fn slow_report(fence: u64, number: u64, age_ms: u64) -> SlowServerReport {
     SlowServerReport {
         fencing_token: fence,
         number,
@@ -286,9 +286,10 @@
 
 #[test]
 fn the_newest_finding_of_the_newest_leader_counts() {
-    let mut findings = SlowServerReports::default();
-    let mut take =
-        |service, fence, number| findings.apply(service, &finding(fence, number, 0), Millis::ZERO);
+    let mut reports = SlowServerReports::default();
+    let mut take = |service, fence, number| {
+        reports.apply(service, &slow_report(fence, number, 0), Millis::ZERO)
+    };
     assert!(take("hints", 2, 5));
     assert!(!take("hints", 2, 5), "received again from another gateway");
     assert!(!take("hints", 1, 9), "of a leader that was replaced");
@@ -300,14 +301,14 @@
 /// gateway that starts long after the last report would then avoid servers that are no longer slow.
 #[test]
 fn a_finding_is_as_old_as_it_was_told_and_is_told_no_more_once_it_holds_no_more() {
-    let mut findings = SlowServerReports::default();
-    assert!(findings.apply("hints", &finding(2, 5, 3_000), Millis(0)));
-    let reports: Vec<SlowServerReport> =
-        findings.current(Millis(900)).map(|(_, finding)| finding).collect();
-    assert_eq!(reports, [finding(2, 5, 3_900)]);
-    assert_eq!(findings.current(Millis(1_000)).count(), 0);
+    let mut reports = SlowServerReports::default();
+    assert!(reports.apply("hints", &slow_report(2, 5, 3_000), Millis(0)));
+    let current: Vec<SlowServerReport> =
+        reports.current(Millis(900)).map(|(_, report)| report).collect();
+    assert_eq!(current, [slow_report(2, 5, 3_900)]);
+    assert_eq!(reports.current(Millis(1_000)).count(), 0);
     let mut late = SlowServerReports::default();
-    assert!(!late.apply("hints", &finding(2, 5, 4_000), Millis(0)));
+    assert!(!late.apply("hints", &slow_report(2, 5, 4_000), Millis(0)));
     let mut pool = pool(&["a", "b"]);
     let [a, _] = pool.present_of("hints")[..] else { panic!("two servers") };
     pool.set_slow("hints", &["a".to_owned()], Millis(3_000), Millis(0));
--- a/crates/core/tests/eras.rs
+++ b/crates/core/tests/eras.rs
@@ -196,13 +196,13 @@
         let listed = ["same", "left", "gone"].map(|key| row(key, 2, Some("ready")));
         Update { revision: Revision { era: 1, count }, whole: true, changes: listed.to_vec() }
     };
-    let taken = replica.apply(&copy(5));
+    let applied = replica.apply(&copy(5));
     let expected =
         vec![lost("came", Some("ready")), lost("gone", None), lost("left", Some("leaving"))];
-    assert_eq!(taken.lost, expected);
+    assert_eq!(applied.lost, expected);
     let mut held = Unconfirmed::default();
     let begin = Millis(1_000);
-    held.begin(taken.lost, &replica, begin);
+    held.begin(applied.lost, &replica, begin);
     let values = |held: &Unconfirmed, replica: &Replica| {
         ["same", "left", "gone", "came"].map(|key| held.value(key, replica).map(str::to_owned))
     };
@@ -212,8 +212,8 @@
     assert!(held.settle(&replica, begin + Millis(1_900)).is_empty());
     // The store is restored a second time: held rows stay held, for as long again.
     let second = Update { revision: Revision { era: 2, count: 4 }, ..copy(0) };
-    let taken = replica.apply(&second);
-    held.begin(taken.lost, &replica, begin + Millis(1_900));
+    let applied = replica.apply(&second);
+    held.begin(applied.lost, &replica, begin + Millis(1_900));
     assert_eq!(values(&held, &replica), known);
     // Two rows are written again, and one is not and lapses.
     let again = Update {
--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -166,9 +166,9 @@
         });
         let picked = seed.filter(|at| *at != address(number));
         let Some(peer) = picked.or_else(|| members.random_peer(now, &mut self.rng)) else { return };
-        let asked = usize::from(peer.port() - FIRST_PORT);
-        let is_cut = self.cut.is_some_and(|first| (asked < first) != (number < first));
-        match self.running[asked].as_mut().filter(|_| !is_cut) {
+        let peer_number = usize::from(peer.port() - FIRST_PORT);
+        let is_cut = self.cut.is_some_and(|first| (peer_number < first) != (number < first));
+        match self.running[peer_number].as_mut().filter(|_| !is_cut) {
             Some(other) => {
                 let others_now = other.clock(self.now);
                 exchange((&mut *members, now), (&mut other.members, others_now));
--- a/crates/core/tests/gateways.rs
+++ b/crates/core/tests/gateways.rs
@@ -228,9 +228,9 @@
 }
 
 /// One gossip exchange between two of these gateways.
-fn exchange_between(all: &mut [Members], asks: usize, asked: usize, now: Millis) {
-    let [asks, asked] = all.get_disjoint_mut([asks, asked]).expect("two of them");
-    exchange((asks, now), (asked, now));
+fn exchange_between(all: &mut [Members], starter: usize, peer: usize, now: Millis) {
+    let [starter, peer] = all.get_disjoint_mut([starter, peer]).expect("two of them");
+    exchange((starter, now), (peer, now));
 }
 
 /// Runs many gateways that know only the first of them at the start, and are alive all the time.
@@ -249,14 +249,14 @@
     let mut due: Vec<u64> = (0..gateways).map(|_| rng.random_range(0..600)).collect();
     let (mut suspected, mut pairs) = (0, 0);
     for now in (0..14_000).step_by(10).map(Millis) {
-        for asks in 0..gateways {
-            if due[asks] > now.0 {
+        for starter in 0..gateways {
+            if due[starter] > now.0 {
                 continue;
             }
-            all[asks].advance_heartbeat();
-            due[asks] = now.0 + all[asks].gossip_interval().0;
-            if let Some(picked) = all[asks].random_peer(now, &mut rng) {
-                exchange_between(&mut all, asks, usize::from(picked.port() - 1_000), now);
+            all[starter].advance_heartbeat();
+            due[starter] = now.0 + all[starter].gossip_interval().0;
+            if let Some(picked) = all[starter].random_peer(now, &mut rng) {
+                exchange_between(&mut all, starter, usize::from(picked.port() - 1_000), now);
             }
         }
         if now.0 >= 10_000 && now.0.is_multiple_of(500) {
@@ -335,20 +335,23 @@
         Member { callers_at: at, peers_at: at, data_centre, ..member(&format!("g{index:03}"), 1) }
     };
     let mut picked = vec![0.0; 150];
-    for asked in 0..150 {
-        let mut members = Members::new(Config::default(), named(asked));
+    for number in 0..150 {
+        let mut members = Members::new(Config::default(), named(number));
         (0..150)
-            .filter(|other| *other != asked)
+            .filter(|other| *other != number)
             .for_each(|other| members.apply_record(&fresh(&named(other)), now));
-        let given = members.for_callers(&named(asked).data_centre, now);
+        let given = members.for_callers(&named(number).data_centre, now);
         let local =
-            given.iter().take(30).filter(|at| (at.port() as usize - 1_000) / 30 == asked / 30);
+            given.iter().take(30).filter(|at| (at.port() as usize - 1_000) / 30 == number / 30);
         assert_eq!(local.count(), 30, "those of the own data centre come first");
         given.iter().take(64).for_each(|at| picked[at.port() as usize - 1_000] += 1.0 / 64.0);
     }
-    let most = picked.iter().copied().fold(0.0, f64::max);
-    let least = picked.iter().copied().fold(f64::MAX, f64::min);
-    assert!(least > 0.6 && most < 1.4, "one share in 150 each, more or less: {least} to {most}");
+    let max_share = picked.iter().copied().fold(0.0, f64::max);
+    let min_share = picked.iter().copied().fold(f64::MAX, f64::min);
+    assert!(
+        min_share > 0.6 && max_share < 1.4,
+        "one share in 150 each, more or less: {min_share} to {max_share}"
+    );
 }
 
 /// Guards against a restarted gateway that stays unknown. Incarnations are times of day, which can
@@ -399,11 +402,11 @@
         .collect();
     all[0].begin_leadership(5);
     for round in 1..100 {
-        for asks in 0..gateways {
-            all[asks].advance_heartbeat();
-            let Some(address) = all[asks].random_peer(now, &mut rng) else { continue };
-            let asked = usize::from(address.port() - 1_000);
-            exchange_between(&mut all, asks, asked, now);
+        for starter in 0..gateways {
+            all[starter].advance_heartbeat();
+            let Some(address) = all[starter].random_peer(now, &mut rng) else { continue };
+            let peer = usize::from(address.port() - 1_000);
+            exchange_between(&mut all, starter, peer, now);
         }
         let knows_leader =
             |members: &Members| members.known().any(|gateway| gateway.leader_fencing_token == 5);
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -243,11 +243,11 @@
 #[test]
 fn a_version_is_given_out_once_and_stays_below_those_of_the_next_leader() {
     let mut first = Versions::of_fencing_token(3);
-    let mut taken: Vec<u64> = std::iter::from_fn(|| first.allocate_above(0)).collect();
+    let mut allocated: Vec<u64> = std::iter::from_fn(|| first.allocate_above(0)).collect();
     assert_eq!(first.allocate_above(0), None, "no version is left");
-    taken.dedup();
+    allocated.dedup();
     let next = Versions::of_fencing_token(4).allocate_above(0).expect("a new leader has versions");
-    assert!(taken.is_sorted() && taken.iter().all(|version| *version < next));
+    assert!(allocated.is_sorted() && allocated.iter().all(|version| *version < next));
     assert_eq!(
         Versions::of_fencing_token(3).allocate_above(next),
         None,
--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/named_limit.rs
@@ -26,7 +26,7 @@
 use hooktrestle_core::id::RequestId;
 use hooktrestle_core::ticket_memory;
 use permit_fleet::Fleet;
-use permit_fleet::Play;
+use permit_fleet::Setup;
 use permit_fleet::Sharing;
 use proptest::prelude::*;
 
@@ -212,7 +212,7 @@
     let (mut started, mut refused) = (Vec::new(), 0);
     for now in 0..60_000 {
         if now % every_ms == 0 {
-            let offer = RequestSpec {
+            let spec = RequestSpec {
                 flow: FlowId(1),
                 weight: 1,
                 cost_tokens: 1,
@@ -221,7 +221,7 @@
                 ticket: None,
             };
             let id = RequestId { number: now + 1, attempt: 1 };
-            match sidecar.request(Millis(now), link, id, offer) {
+            match sidecar.request(Millis(now), link, id, spec) {
                 Arrival::Queued(_) => {}
                 Arrival::Refuse { refusal, .. } => {
                     assert!(refusal.retry_after.is_some_and(|after| after > deadline));
@@ -258,15 +258,15 @@
         let gateways = [1, 3, 7, 40][seed as usize % 4];
         let limit = LIMITS[seed as usize % LIMITS.len()];
         for demand_at_one in [false, true] {
-            let play = Play {
+            let setup = Setup {
                 gateways,
                 limit,
                 demand_at_one,
                 disturbances: true,
                 sharing: Sharing::Together,
             };
-            let violations = Fleet::new(seed, play).play().violations();
-            assert_eq!(violations, Vec::<String>::new(), "seed {seed}, {play:?}");
+            let violations = Fleet::new(seed, setup).run_to_end().violations();
+            assert_eq!(violations, Vec::<String>::new(), "seed {seed}, {setup:?}");
         }
     }
 }
@@ -276,19 +276,19 @@
     for (seed, limit) in LIMITS.into_iter().enumerate() {
         for gateways in [1, 3, 7, 40] {
             for demand_at_one in [false, true] {
-                let play = Play {
+                let setup = Setup {
                     gateways,
                     limit,
                     demand_at_one,
                     disturbances: false,
                     sharing: Sharing::Together,
                 };
-                let used = Fleet::new(seed as u64, play).play();
-                assert_eq!(used.violations(), Vec::<String>::new(), "{play:?}");
+                let used = Fleet::new(seed as u64, setup).run_to_end();
+                assert_eq!(used.violations(), Vec::<String>::new(), "{setup:?}");
                 // The demand is at most 1,000 requests per second here.
-                let asked = limit.min(1_000.0);
+                let demand = limit.min(1_000.0);
                 let used = used.used_per_s();
-                assert!(used >= 0.75 * asked, "{play:?}: {used} a second");
+                assert!(used >= 0.75 * demand, "{setup:?}: {used} a second");
             }
         }
     }
@@ -298,8 +298,8 @@
 fn the_model_finds_gateways_that_each_allow_the_whole() {
     for seed in 0..SEEDS {
         let sharing = Sharing::EachTheWhole;
-        let play =
-            Play { gateways: 7, limit: 1.3, demand_at_one: false, disturbances: false, sharing };
-        assert!(!Fleet::new(seed, play).play().violations().is_empty(), "seed {seed}");
+        let setup =
+            Setup { gateways: 7, limit: 1.3, demand_at_one: false, disturbances: false, sharing };
+        assert!(!Fleet::new(seed, setup).run_to_end().violations().is_empty(), "seed {seed}");
     }
 }
--- a/crates/core/tests/notice_fleet/mod.rs
+++ b/crates/core/tests/notice_fleet/mod.rs
@@ -146,7 +146,7 @@
     }
 
     /// Runs the simulation to its end.
-    pub fn play(mut self) -> Outcome {
+    pub fn run_to_end(mut self) -> Outcome {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             match event {
                 Event::Request { gateway } => self.request(gateway, now),
@@ -214,13 +214,13 @@
     /// Until when a gateway may send a server nothing, by the plain list.
     fn notice_ends_at(&self, gateway: usize, server: usize, now: Millis) -> Option<Millis> {
         let incarnation = self.known[gateway][server];
-        let bound = self.received.iter().filter(|one| {
+        let notices = self.received.iter().filter(|one| {
             one.gateway == gateway
                 && one.server == server
                 && one.incarnation == incarnation
                 && one.received <= now
         });
-        let ends = bound.map(|one| one.until.unwrap_or(Millis::MAX));
+        let ends = notices.map(|one| one.until.unwrap_or(Millis::MAX));
         ends.filter(|until| *until > now).max()
     }
 
@@ -233,13 +233,15 @@
         if !pool.accepts(key, now) || reported.is_some() {
             self.add_violation(
                 now,
-                format!("gateway {gateway} chooses s{server}, and {reported:?}"),
+                format!(
+                    "gateway {gateway} chooses s{server}, with all unavailable until {reported:?}"
+                ),
             );
         }
         if let Some(until) = self.notice_ends_at(gateway, server, now) {
             self.add_violation(
                 now,
-                format!("gateway {gateway} sends to s{server}, bound until {until}"),
+                format!("gateway {gateway} sends to s{server}, whose notice holds until {until}"),
             );
         }
         let incarnation = self.known[gateway][server];
@@ -260,7 +262,7 @@
                 None if self.stalled[server / GROUP] => {}
                 None => self.add_violation(
                     now,
-                    format!("gateway {gateway} refuses, and s{server} is free"),
+                    format!("gateway {gateway} refuses, although s{server} is available"),
                 ),
                 Some(Millis::MAX) => {}
                 Some(until) => first = Some(first.map_or(until, |first| until.min(first))),
@@ -269,7 +271,7 @@
         if reported != first {
             self.add_violation(
                 now,
-                format!("gateway {gateway} reports {reported:?}, and it is {first:?}"),
+                format!("gateway {gateway} reports {reported:?} instead of {first:?}"),
             );
         }
     }
@@ -285,10 +287,10 @@
         let actual = self.actual[server];
         // The users' rule as the server observes it: by the time of its notice, not of its receipt.
         let late = self.received.iter().any(|one| {
-            let asked =
+            let is_from_server =
                 (one.gateway, one.server, one.incarnation) == (gateway, server, actual.incarnation);
-            let rests = one.until.is_some_and(|until| sent < until);
-            asked && rests && one.received + GRACE < sent
+            let is_backing_off = one.until.is_some_and(|until| sent < until);
+            is_from_server && is_backing_off && one.received + GRACE < sent
         });
         if late && incarnation == actual.incarnation {
             self.add_violation(now, format!("s{server} is sent a request by gateway {gateway}"));
--- a/crates/core/tests/permit_fleet/mod.rs
+++ b/crates/core/tests/permit_fleet/mod.rs
@@ -48,7 +48,7 @@
 
 /// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct Setup {
     pub gateways: usize,
     /// Limit of the server at first, in requests per second.
     pub limit: f64,
@@ -62,11 +62,11 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
     Request { to: usize },
-    Arrives { from: usize, incarnation: u64, sent: u64, knew: bool },
+    Arrives { from: usize, incarnation: u64, sent: u64, was_informed: bool },
     Answers { to: usize, incarnation: u64, limit: Option<u64>, sent: u64 },
-    Asks { from: usize, to: usize, incarnation: u64, delegates: bool, wanted: u32, asked: u64 },
-    Grants { to: usize, incarnation: u64, permits: u32, retry_ms: u64, asked: u64 },
-    TimesOut { by: usize, incarnation: u64, on: usize, asked: u64 },
+    Asks { from: usize, to: usize, incarnation: u64, delegates: bool, wanted: u32, requested: u64 },
+    Grants { to: usize, incarnation: u64, permits: u32, retry_ms: u64, requested: u64 },
+    TimesOut { by: usize, incarnation: u64, on: usize, requested: u64 },
     Renews { of: usize },
     Gossip { of: usize },
     Disturb,
@@ -82,13 +82,13 @@
     last_received: Vec<Millis>,
     skipped_until: Vec<Millis>,
     /// Time of the request for permits that is awaiting an answer.
-    asked: Option<u64>,
+    requested: Option<u64>,
     listed: bool,
 }
 
 pub struct Fleet {
     rng: ChaCha8Rng,
-    play: Play,
+    setup: Setup,
     gateways: Vec<Gateway>,
     /// Side of a partition on which each gateway is; all are on one side if there is no partition.
     sides: Vec<u8>,
@@ -104,37 +104,38 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, play: Play) -> Fleet {
+    pub fn new(seed: u64, setup: Setup) -> Fleet {
         let gateway = Gateway {
             incarnation: 1,
             is_alive: true,
             frozen_until: Millis::ZERO,
             limited: AdvertisedLimit::default(),
             permits: Permits::new(Millis::ZERO),
-            last_received: vec![Millis::ZERO; play.gateways],
-            skipped_until: vec![Millis::ZERO; play.gateways],
-            asked: None,
+            last_received: vec![Millis::ZERO; setup.gateways],
+            skipped_until: vec![Millis::ZERO; setup.gateways],
+            requested: None,
             listed: true,
         };
         let mut fleet = Fleet {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            play,
-            gateways: vec![gateway; play.gateways],
-            sides: vec![0; play.gateways],
-            limit: Some(play.limit),
-            advertised: vec![(Millis::ZERO, Some(play.limit))],
+            setup,
+            gateways: vec![gateway; setup.gateways],
+            sides: vec![0; setup.gateways],
+            limit: Some(setup.limit),
+            advertised: vec![(Millis::ZERO, Some(setup.limit))],
             arrived: Vec::new(),
             events: BinaryHeap::new(),
             event_count: 0,
         };
         // Twice the limit, and at least 20 per second.
-        let demand_per_s = (2.0 * play.limit).clamp(20.0, 1_000.0);
+        let demand_per_s = (2.0 * setup.limit).clamp(20.0, 1_000.0);
         let step_us = (1e6 / demand_per_s) as u64;
         for at_us in (0..LENGTH_MS * 1_000).step_by(step_us as usize) {
-            let to = if play.demand_at_one { 0 } else { fleet.rng.random_range(0..play.gateways) };
+            let to =
+                if setup.demand_at_one { 0 } else { fleet.rng.random_range(0..setup.gateways) };
             fleet.at(Millis(at_us / 1_000), Event::Request { to });
         }
-        for of in 0..play.gateways {
+        for of in 0..setup.gateways {
             let first = fleet.rng.random_range(0..GOSSIP_INTERVAL_MS);
             for at in (first..LENGTH_MS).step_by(GOSSIP_INTERVAL_MS as usize) {
                 fleet.at(Millis(at), Event::Gossip { of });
@@ -143,7 +144,7 @@
                 fleet.at(Millis(at), Event::Renews { of });
             }
         }
-        if play.disturbances {
+        if setup.disturbances {
             (5_000..LENGTH_MS).step_by(700).for_each(|at| fleet.at(Millis(at), Event::Disturb));
         }
         fleet
@@ -165,7 +166,7 @@
     }
 
     /// Runs the simulation to its end.
-    pub fn play(mut self) -> Outcome {
+    pub fn run_to_end(mut self) -> Outcome {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.step(event, now);
         }
@@ -176,8 +177,8 @@
     fn step(&mut self, event: Event, now: Millis) {
         match event {
             Event::Request { to } => self.request(to, now),
-            Event::Arrives { from, incarnation, sent, knew } => {
-                if knew {
+            Event::Arrives { from, incarnation, sent, was_informed } => {
+                if was_informed {
                     self.arrived.push(now);
                 }
                 let limit = self.limit.map(|limit| (limit * 1_000.0) as u64);
@@ -194,33 +195,36 @@
                     self.gateways[to].limited.apply(advertisement);
                 }
             }
-            Event::Asks { from, to, incarnation, delegates, wanted, asked }
+            Event::Asks { from, to, incarnation, delegates, wanted, requested }
                 if self.reaches(from, to, now) =>
             {
                 self.send_limit(from, to);
                 let granted = self.grant(from, to, delegates, wanted, now);
                 let (permits, retry_ms) = (granted.permits, granted.retry_in.0);
-                self.later(now, Event::Grants { to: from, incarnation, permits, retry_ms, asked });
+                self.later(
+                    now,
+                    Event::Grants { to: from, incarnation, permits, retry_ms, requested },
+                );
             }
-            Event::Grants { to, incarnation, permits, retry_ms, asked }
+            Event::Grants { to, incarnation, permits, retry_ms, requested }
                 if self.is_same_process(to, incarnation, now) =>
             {
                 let gateway = &mut self.gateways[to];
-                if gateway.asked == Some(asked) {
-                    gateway.asked = None;
-                    let (asked, delay) = (Millis(asked), Millis(retry_ms));
-                    gateway.limited.apply_grant(permits, delay, asked, now);
+                if gateway.requested == Some(requested) {
+                    gateway.requested = None;
+                    let (requested_at, delay) = (Millis(requested), Millis(retry_ms));
+                    gateway.limited.apply_grant(permits, delay, requested_at, now);
                     self.request(to, now);
                 }
             }
-            Event::TimesOut { by, incarnation, on, asked }
+            Event::TimesOut { by, incarnation, on, requested }
                 if self.is_same_process(by, incarnation, now) =>
             {
                 let gateway = &mut self.gateways[by];
-                if gateway.asked == Some(asked) {
-                    gateway.asked = None;
+                if gateway.requested == Some(requested) {
+                    gateway.requested = None;
                     gateway.skipped_until[on] = now + SKIPPED_FOR;
-                    gateway.limited.apply_grant(0, Millis::ZERO, Millis(asked), now);
+                    gateway.limited.apply_grant(0, Millis::ZERO, Millis(requested), now);
                 }
             }
             Event::Renews { of }
@@ -251,9 +255,12 @@
             Permission::Free | Permission::Until(_) => {
                 let advertised_at = self.advertised[self.advertised.len() - 1].0;
                 let advertisement = self.gateways[to].limited.advertisement();
-                let knew = advertisement
+                let was_informed = advertisement
                     .is_some_and(|advertisement| advertisement.latest >= advertised_at);
-                self.later(now, Event::Arrives { from: to, incarnation, sent: now.0, knew });
+                self.later(
+                    now,
+                    Event::Arrives { from: to, incarnation, sent: now.0, was_informed },
+                );
             }
             Permission::Ask(wanted) => self.ask(to, wanted, now),
             Permission::None => {}
@@ -267,7 +274,7 @@
                 now.since(gateway.last_received[*to]) < SUSPECTED_AFTER || *to == from;
             last_received && gateway.skipped_until[*to] <= now
         };
-        let first = match self.play.sharing {
+        let first = match self.setup.sharing {
             Sharing::Together => (0..self.gateways.len()).find(is_fit).unwrap_or(from),
             Sharing::EachTheWhole => from,
         };
@@ -275,8 +282,8 @@
         let of = IncarnationId(first as u64 * 1_000 + self.gateways[first].incarnation);
         let delegates = self.gateways[from].permits.delegate_share(of, now);
         if wanted > 0 {
-            self.gateways[from].asked = Some(now.0);
-            let times_out = Event::TimesOut { by: from, incarnation, on: first, asked: now.0 };
+            self.gateways[from].requested = Some(now.0);
+            let times_out = Event::TimesOut { by: from, incarnation, on: first, requested: now.0 };
             self.at(now + ASK_TIMEOUT, times_out);
         }
         if first == from {
@@ -285,12 +292,13 @@
             if wanted > 0 {
                 self.at(
                     now,
-                    Event::Grants { to: from, incarnation, permits, retry_ms, asked: now.0 },
+                    Event::Grants { to: from, incarnation, permits, retry_ms, requested: now.0 },
                 );
             }
             return;
         }
-        let asks = Event::Asks { from, to: first, incarnation, delegates, wanted, asked: now.0 };
+        let asks =
+            Event::Asks { from, to: first, incarnation, delegates, wanted, requested: now.0 };
         self.later(now, asks);
     }
 
@@ -302,7 +310,7 @@
         wanted: u32,
         now: Millis,
     ) -> Grant {
-        let gateways = match self.play.sharing {
+        let gateways = match self.setup.sharing {
             Sharing::Together => self.gateways.iter().filter(|one| one.listed).count(),
             Sharing::EachTheWhole => 1,
         };
@@ -373,7 +381,7 @@
         gateway.frozen_until = Millis::ZERO;
         gateway.limited = AdvertisedLimit::default();
         gateway.permits = Permits::new(now);
-        gateway.asked = None;
+        gateway.requested = None;
         // It receives what others know before it gets requests.
         let known = (0..self.gateways.len()).find(|other| {
             *other != one
--- a/crates/core/tests/schedule/mod.rs
+++ b/crates/core/tests/schedule/mod.rs
@@ -45,12 +45,12 @@
     DeliverDown(usize),
     Cut(usize),
     Reconnect(usize),
-    SidecarNotices(usize),
+    SidecarDetectsLoss(usize),
     Run { sidecar: usize, pick: usize, how: u8 },
     RestartSidecar(usize),
     Leave(usize),
     Stay(usize),
-    Pass(u8),
+    AdvanceTime(u8),
     Deadline { call: usize },
     CallerGone { call: usize },
 }
@@ -125,7 +125,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
-    Whole,
+    Complete,
     Refused(Refusal),
     Gone,
 }
@@ -203,12 +203,12 @@
             Event::DeliverDown(index) => self.deliver_down(index),
             Event::Cut(index) => self.cut(index),
             Event::Reconnect(pair) => self.reconnect(pair % (GATEWAYS * SIDECARS)),
-            Event::SidecarNotices(index) => self.sidecar_notices(index),
+            Event::SidecarDetectsLoss(index) => self.sidecar_notices(index),
             Event::Run { sidecar, pick, how } => self.run(sidecar % SIDECARS, pick, how),
             Event::RestartSidecar(index) => self.restart(index % SIDECARS),
             Event::Leave(index) => self.start_leaving(index % SIDECARS),
             Event::Stay(index) => self.sidecars[index % SIDECARS].dispatcher.stop_leaving(),
-            Event::Pass(ms) => self.pass(u64::from(ms)),
+            Event::AdvanceTime(ms) => self.pass(u64::from(ms)),
             Event::Deadline { call } => self.deadline(call),
             Event::CallerGone { call } => self.caller_gone(call),
         }
@@ -233,7 +233,7 @@
                 return Err(format!("call {index} received frames {:?}", call.got));
             }
             let whole = frames.len() as u64 == ANSWER_FRAMES;
-            if call.ended == Some(End::Whole) && !whole {
+            if call.ended == Some(End::Complete) && !whole {
                 return Err(format!("call {index} ended as complete after {frames:?}"));
             }
         }
@@ -312,7 +312,7 @@
             Next::Send(id) => self.send(call, id),
             Next::Settle(_) | Next::Forward | Next::Ignore => {}
             Next::ForwardLast => {
-                self.calls[call].ended = Some(End::Whole);
+                self.calls[call].ended = Some(End::Complete);
                 self.send_frame(call, Up::Ack(self.calls[call].attempts.id()));
             }
             Next::Finish(refusal) => {
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -1,9 +1,9 @@
 //! Random schedules of events at gateways and sidecars, checked after each event.
 //!
 //! Guards against a verdict "not run" for a request that ran, a second run of a request that must
-//! run once, and incomplete answers. They come about by cut links, restarts, deadlines, callers that
-//! disconnect and late messages, in any order. Worlds with a known flaw show that the checks detect
-//! it.
+//! run once, and incomplete answers. They come about through cut links, restarts, deadlines,
+//! callers that disconnect and late messages, in any order. Worlds with a known flaw show that the
+//! checks detect it.
 
 mod schedule;
 mod support;
@@ -31,16 +31,16 @@
         12 => index.clone().prop_map(Event::DeliverDown),
         3 => index.clone().prop_map(Event::Cut),
         5 => index.clone().prop_map(Event::Reconnect),
-        2 => index.clone().prop_map(Event::SidecarNotices),
+        2 => index.clone().prop_map(Event::SidecarDetectsLoss),
         12 => (index.clone(), index.clone(), any::<u8>())
             .prop_map(|(sidecar, pick, how)| Event::Run { sidecar, pick, how }),
         1 => index.clone().prop_map(Event::RestartSidecar),
         1 => index.clone().prop_map(Event::Leave),
         1 => index.clone().prop_map(Event::Stay),
-        2 => any::<u8>().prop_map(Event::Pass),
+        2 => any::<u8>().prop_map(Event::AdvanceTime),
         1 => index.clone().prop_map(|call| Event::Deadline { call }),
         1 => index.prop_map(|call| Event::CallerGone { call }),
-        1 => Just(Event::Pass(1)),
+        1 => Just(Event::AdvanceTime(1)),
     ]
 }
 
