--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -208,7 +208,7 @@
     let mut group = Group::new(4);
     let switched = run_schedule(1, 4, NO_FAULTS, &mut group);
     assert!(switched >= 10, "{switched} switches in 600 ticks");
-    assert!(group.is_clean() || group.ranks[0].report.pass > 500);
+    assert!(group.holds_no_pass() || group.ranks[0].report.pass > 500);
 }
 
 #[test]
@@ -272,7 +272,7 @@
         group.tick();
     }
     assert!(held, "no pass was held");
-    assert!(group.is_clean(), "the hold was not released");
+    assert!(group.holds_no_pass(), "the hold was not released");
     assert_ne!(group.ranks[0].report.map, 0, "the map is in force");
 }
 
--- a/crates/core/tests/ranks/mod.rs
+++ b/crates/core/tests/ranks/mod.rs
@@ -200,7 +200,7 @@
     }
 
     /// Whether no rank holds a pass.
-    pub fn is_clean(&self) -> bool {
+    pub fn holds_no_pass(&self) -> bool {
         let mut reports = self.ranks.iter().map(|rank| rank.report);
         reports.all(|report| report.held.is_none())
     }
