--- a/crates/direct/src/admission_queue.rs
+++ b/crates/direct/src/admission_queue.rs
@@ -96,7 +96,7 @@
         Ok(AdmittedStream::new(self.clone(), self.clock.now()))
     }
 
-    /// Admits all queued requests, so that they are refused at once where no server takes requests.
+    /// Admits all queued requests, so that they are refused at once if no server accepts requests.
     pub fn admit_all(self: &Rc<Self>) {
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
         let now = self.clock.now();
--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -156,8 +156,8 @@
     Ok(response)
 }
 
-/// The reply to a request, with the request, which lives until its answer ends; or the refusal of a
-/// request that was sent to no server.
+/// The reply to a request, with the request, which is needed until its answer ends; or the refusal
+/// of a request that was sent to no server.
 async fn reply<P: Platform>(
     gateway: &Rc<Gateway<P>>,
     parts: http::request::Parts,
@@ -165,7 +165,7 @@
 ) -> Result<(Request<P>, Reply<P>), Refusal> {
     match request::read(gateway, parts, body).await {
         Ok(request) if !gateway.accepts(request.route().kind) => {
-            // Another gateway can take the request at once.
+            // Another gateway can accept the request at once.
             Err(Refusal::not_run(Cause::Leaving).retry_after(Millis::ZERO))
         }
         Ok(mut request) => {
--- a/crates/direct/src/callers/body.rs
+++ b/crates/direct/src/callers/body.rs
@@ -1,5 +1,5 @@
 //! The body of an answer to a caller: yields the bytes of a whole answer, or the frames of a
-//! stream. As long as it lives, its request counts as in flight and its connection is not idle.
+//! stream. Until it is dropped, its request counts as in flight and its connection is not idle.
 
 use std::pin::Pin;
 use std::task::Context;
--- a/crates/direct/src/crash_sync.rs
+++ b/crates/direct/src/crash_sync.rs
@@ -94,12 +94,12 @@
                 for row in &rows {
                     gateway.merge_crashes(&row.crashes, &[]);
                 }
-                gateway.note_crashes_read();
+                gateway.record_crashes_read();
                 return rows.iter().map(|row| (row.fingerprint, row.crashes.len())).collect();
             }
             Err(failure) => {
                 // Other gateways send the crashes that they know.
-                gateway.note_crashes_read();
+                gateway.record_crashes_read();
                 pauses.next(gateway, "read", failure).await;
             }
         }
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -57,7 +57,7 @@
     uri: Uri,
     body: Bytes,
     /// The compressed body for sidecars and relays, if the body is large enough.
-    packed: Option<Bytes>,
+    compressed: Option<Bytes>,
     /// For counts, and for sidecars only: the number of the known snapshot, to which the reply
     /// gives the delta.
     since: Option<u64>,
@@ -70,9 +70,9 @@
         engine_request: &EngineRequest<'_>,
     ) -> EncodedRequest {
         let (method, uri, body) = gateway.platform.encode_engine_request(engine_request);
-        let packed =
+        let compressed =
             (body.len() >= compression::COMPRESS_FROM_BYTES).then(|| compression::compress(&body));
-        EncodedRequest { method, uri, body, packed, since: None }
+        EncodedRequest { method, uri, body, compressed, since: None }
     }
 
     /// For counts: requests only the delta since the snapshot with this number.
@@ -144,14 +144,14 @@
     connection.on_answer(&head.headers);
     match end {
         RemoteEnd::Engine => {
-            gateway.note_server_notices(server, &head);
-            gateway.note_limit(server, &head, sent_at, head.status.is_success());
+            gateway.record_server_notices(server, &head);
+            gateway.record_advertised_limit(server, &head, sent_at, head.status.is_success());
         }
         // A back-off applies to the sender on whose connection it was requested, and not all
         // headers of the engine pass a sidecar or relay.
         RemoteEnd::Sidecar | RemoteEnd::Relay => {
-            gateway.note_leaving(server, &head);
-            gateway.note_limit(server, &head, sent_at, false);
+            gateway.record_leaving(server, &head);
+            gateway.record_advertised_limit(server, &head, sent_at, false);
         }
     }
     let body = body.collect().await.ok()?.to_bytes();
@@ -184,8 +184,8 @@
         if let Some(known) = encoded.since {
             request = request.header(sidecar::SINCE_HEADER, known);
         }
-        if let Some(packed) = &encoded.packed {
-            body = packed;
+        if let Some(compressed) = &encoded.compressed {
+            body = compressed;
             request = request.header(header::CONTENT_ENCODING, compression::ENCODING);
         }
     }
--- a/crates/direct/src/event_log.rs
+++ b/crates/direct/src/event_log.rs
@@ -12,8 +12,8 @@
 use spdlog::info;
 use tokio::time::Instant;
 
-/// Maximum number of lines per second about requests. A line costs some tens of microseconds, of a
-/// quarter of a core.
+/// Maximum number of lines per second about requests. A line costs some tens of microseconds of
+/// a quarter of a core.
 const MAX_REQUEST_LINES_PER_S: u32 = 40;
 
 /// Log of one process.
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -73,8 +73,8 @@
         Some(self)
     }
 
-    /// Whether the request may still be sent. Since the server was chosen, it may have asked for a
-    /// back-off or advertised a limit, and the permit may have expired.
+    /// Whether the request may still be sent. Since the server was chosen, the server may have
+    /// requested a back-off or advertised a limit, and the permit may have expired.
     fn may_send(&self, now: Millis) -> bool {
         let AttemptGuard { gateway, server, permit, .. } = self;
         let has_permit = permit.is_some_and(|permit| permit.is_valid(now));
@@ -154,7 +154,7 @@
     let (head, body) = response.into_parts();
     connection.on_answer(&head.headers);
     let names = gateway.platform.headers();
-    let asks_back_off = record_back_off(gateway, request, guard.server(), &head);
+    let requests_back_off = record_back_off(gateway, request, guard.server(), &head);
     record_limit(gateway, request, guard.server(), &head, sent_at);
     if !is_answer_to(request, names, &head, reused) {
         guard.end(AttemptOutcome::Lost);
@@ -162,15 +162,15 @@
         gateway.event_log.request(request.id_text(), step);
         return Err(Fate::MayHaveRun);
     }
-    gateway.note_server_answered(guard.server(), sent_at);
+    gateway.record_server_answer(guard.server(), sent_at);
     record_server_load(gateway, guard.server(), &head);
     if is_refusal(gateway, &head) {
         let outcome =
-            if asks_back_off { AttemptOutcome::Full } else { refusal_outcome(gateway, &head) };
+            if requests_back_off { AttemptOutcome::Full } else { refusal_outcome(gateway, &head) };
         guard.end(outcome);
         if outcome == AttemptOutcome::Stalled {
             gateway.stall_detected.notify_one();
-            gateway.note_outage_began(&request.service);
+            gateway.record_outage_began(&request.service);
         }
         drain(gateway, body, connection);
         return Err(Fate::NotRun);
@@ -181,7 +181,7 @@
     }
     let failed = head.status.is_server_error();
     guard.end(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered });
-    gateway.note_outage_ended(&request.service);
+    gateway.record_outage_ended(&request.service);
     gateway.with_pool(|pool| pool.record_answer(guard.server()));
     let now = gateway.now();
     gateway.with_heads(&request.service, |heads| heads.began(guard.server(), sent_at, now));
@@ -289,7 +289,9 @@
             answered = connection.sender().try_send_request(message) => answered,
             () = overtaken(gateway, request, server, sent_at) => {
                 gateway.metrics.overtaken.inc();
-                gateway.note_truncated(server, request.fingerprint, Progress::Sent(sent_at)).await;
+                gateway
+                    .record_truncated_answer(server, request.fingerprint, Progress::Sent(sent_at))
+                    .await;
                 return Err(NoAnswer { fate: Fate::MayHaveRun, outcome: AttemptOutcome::Overtaken });
             }
         };
@@ -302,7 +304,11 @@
                 let unsent = error.take_message().is_some();
                 if !unsent {
                     gateway
-                        .note_truncated(server, request.fingerprint, Progress::Sent(sent_at))
+                        .record_truncated_answer(
+                            server,
+                            request.fingerprint,
+                            Progress::Sent(sent_at),
+                        )
                         .await;
                 }
                 if unsent && !fresh {
@@ -367,16 +373,16 @@
     }
 }
 
-/// Records what a server announces in the head of an answer; returns whether it asks for a
-/// back-off.
+/// Records what a server announces in the head of an answer, and logs a requested back-off; returns
+/// whether there is one.
 fn record_back_off<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<P>,
     server: Key<Server>,
     head: &Parts,
 ) -> bool {
-    let Some(asked) = gateway.note_server_notices(server, head) else { return false };
-    let step = RestStep { server_number: server.number(), asked: asked.to_owned() };
+    let Some(requested) = gateway.record_server_notices(server, head) else { return false };
+    let step = RestStep { server_number: server.number(), asked: requested.to_owned() };
     gateway.event_log.request(request.id_text(), step);
     true
 }
@@ -390,8 +396,8 @@
     sent_at: Millis,
 ) {
     let lifts = head.status.is_success();
-    if let Some(named) = gateway.note_limit(server, head, sent_at, lifts) {
-        let step = LimitStep { server_number: server.number(), named: named.to_owned() };
+    if let Some(advertised) = gateway.record_advertised_limit(server, head, sent_at, lifts) {
+        let step = LimitStep { server_number: server.number(), named: advertised.to_owned() };
         gateway.event_log.request(request.id_text(), step);
     }
 }
--- a/crates/direct/src/forward.rs
+++ b/crates/direct/src/forward.rs
@@ -32,7 +32,8 @@
 const MAX_BUFFERED_ANSWER_BYTES: usize = 4 << 20;
 
 /// Maximum wait for a permit if no other server is available: an eighth of the usual latency
-/// objective. Where the wait would be longer, the caller is told to retry later.
+/// objective. If the wait would be longer, the caller gets a refusal with the time after which to
+/// retry.
 pub const MAX_PERMIT_WAIT: Millis = Millis(50);
 
 /// The reply to a caller.
@@ -88,7 +89,7 @@
             if attempts.tried().is_empty()
                 && gateway.all_unavailable_for(&request.service).is_none()
             {
-                gateway.note_outage_began(&request.service);
+                gateway.record_outage_began(&request.service);
             }
             return match failure {
                 Some((head, body)) => ForwardOutcome::Whole(head, body),
@@ -120,7 +121,7 @@
     }
 }
 
-/// A refusal, with a retry time at which servers are expected to take requests again.
+/// A refusal, with a retry time at which servers are expected to accept requests again.
 fn refused<P: Platform>(
     gateway: &Gateway<P>,
     request: &Request<P>,
@@ -184,8 +185,8 @@
         }
         let next = gateway.with_pool(|pool| pool.next_permit_at(service, attempts.tried(), now));
         let next = next.filter(|at| now < give_up_at && *at < give_up_at)?;
-        // A time in the past means that another request has asked for permits and waits for the
-        // reply.
+        // A time in the past means that permits have been requested for another request, and that
+        // the reply is still to come.
         let until = if next > now { next } else { give_up_at };
         let _ = gateway.clock.timeout_at(until, gateway.permit_reply_received.notified()).await;
     }
@@ -202,14 +203,14 @@
         Ok(collected) => {
             gateway.connections.put_back(connection);
             if head.status.is_success() {
-                gateway.note_completed(request.fingerprint);
+                gateway.record_completed_request(request.fingerprint);
             }
             Some((head, collected.to_bytes()))
         }
         Err(_) => {
             guard.end(AttemptOutcome::Lost);
             let progress = Progress::Running(began_at);
-            gateway.note_truncated(guard.server(), request.fingerprint, progress).await;
+            gateway.record_truncated_answer(guard.server(), request.fingerprint, progress).await;
             None
         }
     }
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -238,8 +238,8 @@
         self.suspension.get().ended_within(within, now)
     }
 
-    /// Number of gateways that share a bound. After a suspension no recent heartbeat is known, so
-    /// all known gateways count.
+    /// Number of gateways among which a common bound is divided. After a suspension no recent
+    /// heartbeat is known, so all known gateways count.
     fn count_sharing(&self, now: Millis) -> usize {
         let members = self.members.borrow();
         if self.suspension.get().ended_within(MEMBERSHIP_RECOVERY, now).is_some() {
@@ -284,7 +284,7 @@
     }
 
     /// Records that the state of another gateway was received, or that there is no other gateway.
-    pub fn note_peer_state_received(&self) {
+    pub fn record_peer_state_received(&self) {
         self.peer_state_received.set(true);
     }
 
@@ -305,11 +305,11 @@
 
     /// Whether a request that arrives now can be expected to end before the process does.
     pub fn accepts(&self, kind: RouteKind) -> bool {
-        let last = match kind {
+        let accepted_until = match kind {
             RouteKind::Stream => &self.streams_accepted_until,
             RouteKind::Repeatable | RouteKind::Once => &self.requests_accepted_until,
         };
-        self.now() < last.get()
+        self.now() < accepted_until.get()
     }
 
     /// Number of requests without a complete answer.
@@ -364,7 +364,7 @@
     }
 
     /// Records whether the store answers, and logs a change.
-    pub fn note_store(&self, answers: bool, reason: &dyn std::fmt::Display) {
+    pub fn record_store_answers(&self, answers: bool, reason: &dyn std::fmt::Display) {
         if self.store_answers() == answers {
             return;
         }
@@ -401,13 +401,13 @@
     }
 
     /// Records that no server of a service could accept a request.
-    pub fn note_outage_began(&self, service: &str) {
+    pub fn record_outage_began(&self, service: &str) {
         let now = self.now();
         self.with_outages(service, |outages| outages.began(now));
     }
 
     /// Records that a server of a service accepted a request.
-    pub fn note_outage_ended(&self, service: &str) {
+    pub fn record_outage_ended(&self, service: &str) {
         let now = self.now();
         self.with_outages(service, |outages| outages.ended(now));
     }
--- a/crates/direct/src/gateway/crashes.rs
+++ b/crates/direct/src/gateway/crashes.rs
@@ -85,8 +85,8 @@
     is_probing: bool,
 }
 
-/// A trial: a request that is sent one at a time, because a server crashed as it began there. The
-/// trial ends when this value is dropped.
+/// A trial of a request that began at a server just as the server crashed: all gateways together
+/// send such a request to one server at a time. The trial ends when this value is dropped.
 pub struct Trial<P: Platform> {
     gateway: Rc<Gateway<P>>,
     fingerprint: Fingerprint,
@@ -102,7 +102,8 @@
 #[derive(Default)]
 pub(super) struct CrashDetection {
     truncations: HashMap<Key<Server>, ServerTruncations>,
-    /// Requests that were at a crash which this gateway detected: it stores them on the platform.
+    /// Requests that were at a crash which this gateway detected. This gateway stores them on the
+    /// platform.
     own: BTreeSet<Fingerprint>,
     /// Requests on trial that are in flight.
     on_trial: BTreeSet<Fingerprint>,
@@ -162,7 +163,7 @@
     /// Records that a server sent no complete answer to a request. On return it is known whether
     /// the server has crashed if that decides whether the request may be sent again, otherwise it
     /// is known soon.
-    pub async fn note_truncated(
+    pub async fn record_truncated_answer(
         self: &Rc<Self>,
         server: Key<Server>,
         fingerprint: Fingerprint,
@@ -218,7 +219,7 @@
 
     /// Handles a change of the server list: servers that are no longer listed and were not leaving
     /// have crashed, if they sent truncated answers.
-    pub(super) fn note_unlisted(&self) {
+    pub(super) fn mark_unlisted_crashed(&self) {
         let now = self.now();
         let unlisted: Vec<Key<Server>> = {
             let (detection, pool) = (self.crash_detection.borrow(), self.pool.borrow());
@@ -259,7 +260,7 @@
             let listed = &pool.server(server).listed;
             let count = suspects.len();
             self.event_log
-                .state(format_args!("server {} crashed under {count} requests", listed.id));
+                .state(format_args!("server {} crashed while running {count} requests", listed.id));
             ServerIncarnation::of(&listed.id, listed.started_unix_ms)
         });
         let age = self.now().since(crashed_at);
@@ -268,7 +269,7 @@
     }
 
     /// Records that a server answered a request that was sent at `sent_at`.
-    pub fn note_server_answered(&self, server: Key<Server>, sent_at: Millis) {
+    pub fn record_server_answer(&self, server: Key<Server>, sent_at: Millis) {
         let mut detection = self.crash_detection.borrow_mut();
         let truncations = detection.truncations.get_mut(&server);
         if let Some(truncations) =
@@ -279,7 +280,7 @@
     }
 
     /// Records that a request got its complete answer.
-    pub fn note_completed(&self, fingerprint: Fingerprint) {
+    pub fn record_completed_request(&self, fingerprint: Fingerprint) {
         let now = self.now();
         let outcome = self.crashes.borrow_mut().record_completed(fingerprint, now);
         self.act_on(outcome, now);
@@ -318,17 +319,20 @@
         for fingerprint in refused.difference(&detection.refusals_logged) {
             let number = fingerprint.0;
             self.event_log.state(format_args!(
-                "request {number} is refused: servers crashed while running it"
+                "request with fingerprint {number} is refused: servers crashed while running it"
             ));
         }
         for fingerprint in detection.refusals_logged.difference(&refused) {
-            self.event_log.state(format_args!("request {} is no longer refused", fingerprint.0));
+            self.event_log.state(format_args!(
+                "request with fingerprint {} is no longer refused",
+                fingerprint.0
+            ));
         }
         detection.refusals_logged = refused;
     }
 
     /// Records that the stored crashes were read or could not be read: callers may be sent here.
-    pub fn note_crashes_read(&self) {
+    pub fn record_crashes_read(&self) {
         self.crash_detection.borrow_mut().stored_crashes_read = true;
     }
 
--- a/crates/direct/src/gateway/eras.rs
+++ b/crates/direct/src/gateway/eras.rs
@@ -44,7 +44,7 @@
     }
 
     /// Records an era that the store or another gateway reported.
-    pub fn note_era(&self, era: u64) {
+    pub fn record_era(&self, era: u64) {
         let known = self.era();
         if known.is_some_and(|known| known >= era) {
             return;
--- a/crates/direct/src/gateway/limits.rs
+++ b/crates/direct/src/gateway/limits.rs
@@ -30,7 +30,7 @@
 }
 
 impl Permit {
-    /// Whether it permits a request to a server that advertises a limit now.
+    /// Whether it still permits a request at `now`, to a server that advertises a limit by then.
     pub fn is_valid(self, now: Millis) -> bool {
         self.valid_until.is_some_and(|until| until > now)
     }
@@ -40,7 +40,7 @@
     /// Records the limit in the head of a server's answer to a request that was sent at `sent_at`.
     /// An answer without a limit withdraws the known one if it `lifts` limits. Returns the
     /// advertised limit, if it changed the known one.
-    pub fn note_limit<'a>(
+    pub fn record_advertised_limit<'a>(
         &self,
         server: Key<Server>,
         head: &'a Parts,
--- a/crates/direct/src/gateway/server_notices.rs
+++ b/crates/direct/src/gateway/server_notices.rs
@@ -19,14 +19,18 @@
 impl<P: Platform> Gateway<P> {
     /// Records the notices in the head of a server's answer: whether it is leaving, and whether it
     /// requests a back-off. Returns the text of the requested back-off, if there is one.
-    pub fn note_server_notices<'a>(&self, server: Key<Server>, head: &'a Parts) -> Option<&'a str> {
-        self.note_leaving(server, head);
+    pub fn record_server_notices<'a>(
+        &self,
+        server: Key<Server>,
+        head: &'a Parts,
+    ) -> Option<&'a str> {
+        self.record_leaving(server, head);
         let refusals = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         if !refusals.contains(&head.status) {
             return None;
         }
-        let asked = headers::text(&head.headers, &header::RETRY_AFTER)?;
-        let span = server_notices::parse_back_off(asked)?;
+        let requested = headers::text(&head.headers, &header::RETRY_AFTER)?;
+        let span = server_notices::parse_back_off(requested)?;
         let now = self.now();
         self.metrics.back_offs_received.inc();
         let all_unavailable_for = self.with_pool(|pool| {
@@ -39,11 +43,11 @@
             // retry.
             self.entrance(&service).admit_all();
         }
-        Some(asked)
+        Some(requested)
     }
 
     /// Records whether a server's answer announces that it is leaving.
-    pub fn note_leaving(&self, server: Key<Server>, head: &Parts) {
+    pub fn record_leaving(&self, server: Key<Server>, head: &Parts) {
         let notice = headers::text(&head.headers, &self.platform.headers().leaving);
         // A server other than the expected one reports its own state only.
         let is_other = self.platform.is_other_server(head.status.as_u16());
--- a/crates/direct/src/gateway/tables.rs
+++ b/crates/direct/src/gateway/tables.rs
@@ -51,7 +51,7 @@
                 "{name} replaced in a new era, at revision {revision}, from {source}"
             ));
         }
-        self.note_era(revision.era);
+        self.record_era(revision.era);
         let mut changed = applied.changed;
         if table == Table::Servers {
             if era_began {
@@ -89,9 +89,10 @@
         self.rows_lost.notify_one();
     }
 
-    /// Whether the lost value of a row takes precedence over the store's. A server that was leaving
-    /// or removed receives no requests, while one that was ready may have reported since that it is
-    /// leaving.
+    /// Whether the lost value of a row takes precedence over the store's. It does if the store has
+    /// no row, or if the value shows that the server is leaving or removed: such a server must get
+    /// no requests. A value that shows a ready server does not, since the server may have reported
+    /// since then that it is leaving.
     fn takes_precedence(&self, lost: &LostRow, replica: &Replica) -> bool {
         let (Some(known), Some(read)) = (&lost.value, replica.get(&lost.key)) else { return true };
         let leaves = |value| self.platform.listed(&lost.key, value).is_ok_and(|row| row.leaving);
@@ -115,7 +116,7 @@
     }
 
     /// Records that the store returned a table that is older than the known one.
-    pub fn note_old_table(&self, table: Table, revision: Revision) {
+    pub fn record_stale_table(&self, table: Table, revision: Revision) {
         self.metrics.stale_tables_read.inc();
         self.event_log.state(format_args!(
             "{} read at revision {revision}, known up to {}: ignored",
@@ -126,7 +127,7 @@
 
     fn relist(&self, changed: &[String], source: &str) {
         self.list(changed, source);
-        self.note_unlisted();
+        self.mark_unlisted_crashed();
     }
 
     fn list(&self, changed: &[String], source: &str) {
@@ -145,7 +146,7 @@
                     pool.list(listed, replica.revision_of(id));
                 }
                 Some(Err(error)) => {
-                    self.note_invalid_row(id, &error);
+                    self.record_invalid_row(id, &error);
                     pool.unlist(id);
                 }
                 None => {
@@ -158,7 +159,7 @@
 
     /// Records an invalid row of the server list: it is counted, and logged once per row up to a
     /// maximum number of rows.
-    fn note_invalid_row(&self, id: &str, error: &Malformed) {
+    fn record_invalid_row(&self, id: &str, error: &Malformed) {
         self.metrics.rows_ignored.inc();
         let mut logged = self.ignored_rows_logged.borrow_mut();
         if logged.len() < MAX_IGNORED_ROWS_LOGGED && logged.insert(id.to_owned()) {
--- a/crates/direct/src/maps.rs
+++ b/crates/direct/src/maps.rs
@@ -62,13 +62,13 @@
 const CLAIM_DELAY_PER_GATEWAY: Millis = Millis(50);
 
 /// Time for which a replaced leader does not claim again. If it cannot receive gossip of the new
-/// leader, the two would otherwise replace each other repeatedly. Network cuts at the users last
+/// leader, the two would otherwise replace each other repeatedly. The users' network cuts last
 /// some 5 s.
 const RECLAIM_PAUSE: Millis = Millis(5_000);
 
-/// Time without answers of most ranks after which a leader no longer advertises its leadership. It
-/// spans several reads, so that one lost packet has no effect, and is much less than the 5 s that
-/// network cuts at the users last.
+/// Time without answers from most ranks after which a leader no longer advertises its leadership.
+/// It spans several reads, so that one lost packet has no effect, and is much less than the 5 s
+/// that the users' network cuts last.
 const MAX_UNREACHED_TIME: Millis = Millis(600);
 
 /// Time between two reads of counts. One or two reads detect a shift of demand. With 250 ms, the
@@ -78,7 +78,8 @@
 
 /// Number of ranks whose counts are read through sidecars if the own data centre has fewer ranks.
 /// The requests of one rank are a sample of all. Reading all 72 ranks of three data centres costs
-/// 0.026 of the score for bytes between them, and 0.03 for the time of these on the leader's link.
+/// 0.026 of the score for bytes between them, and 0.03 for the time that these take on the leader's
+/// link.
 const MIN_SIDECAR_RANKS: usize = 12;
 
 /// Number of reads of counts for each read of paces. Ranks become slow for seconds, and a read of
@@ -242,8 +243,8 @@
     service: &str,
     leadership: &Leadership,
 ) -> Option<u64> {
-    // The claim is protected until all gateways know of it. A gateway that did not know of it yet
-    // could claim and send orders, too.
+    // The claim is protected until all gateways know of it. Otherwise a gateway that does not know
+    // of it yet could claim leadership and send orders, too.
     let (holder, newest_token, protected) = gateway.with_members(|members| {
         (members.own().name.clone(), members.highest_fencing_token(), members.propagation_time())
     });
@@ -448,9 +449,9 @@
         }
     }
 
-    /// Reads the counts of one rank. The same few ranks are read in turn, since the difference
-    /// between two reads of a rank is what counts. Each read has a price, so most are skipped while
-    /// the groups have no work.
+    /// Reads the counts of one rank. The same few ranks are read in turn, since demand is estimated
+    /// from the difference between two reads of the same rank. Each read has a price, so most are
+    /// skipped while the groups have no work.
     async fn read_directly(&self, ranks: &[Key<Server>]) -> Option<(Key<Server>, Counts)> {
         let skipped_reads = self.skipped_reads.get();
         if !self.demand.borrow().busy && skipped_reads < MAX_SKIPPED_READS {
--- a/crates/direct/src/maps/group.rs
+++ b/crates/direct/src/maps/group.rs
@@ -332,8 +332,8 @@
         encoded
     }
 
-    /// The path on which an order is sent to its rank: through the rank's own machine if no other
-    /// gateway is alive.
+    /// The path on which an order is sent to its rank. An order whose sender must be remote goes
+    /// through another gateway, or through the rank's own machine if no other gateway is available.
     fn path_of<P: Platform>(&self, gateway: &Gateway<P>, order: Order) -> Path {
         match order.sender() {
             Sender::Remote => gateway.next_relay().map_or(Path::Any, Path::Through),
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -130,7 +130,7 @@
                 None => gateway.with_members(|members| members.is_listed_alone()),
             };
             if exchanged {
-                gateway.note_peer_state_received();
+                gateway.record_peer_state_received();
             }
             let fast = !gateway.store_answers() || readiness == Readiness::Starting;
             urgent = gateway.take_urgent_gossip_round();
@@ -194,8 +194,8 @@
     }
 }
 
-/// Removes gateways that were not alive for long, and logs which gateways became alive, suspected
-/// or removed.
+/// Removes gateways that have not been alive for a long time, and logs which gateways became alive,
+/// suspected or removed.
 fn log_liveness_changes<P: Platform>(gateway: &Gateway<P>, now: Millis) {
     let (changes, alive) = gateway.with_members(|members| {
         members.remove_expired(now);
--- a/crates/direct/src/peers/messages.rs
+++ b/crates/direct/src/peers/messages.rs
@@ -224,8 +224,8 @@
         configuration_kept: other
             .and_then(|other| gateway.retained_for_peer(other.configuration_version))
             .map(|update| update_to_wire(Table::Configuration.name(), update)),
-        slow: gateway.with_slow_server_reports(|findings| {
-            findings.current(now).map(slow_servers_to_wire).collect()
+        slow: gateway.with_slow_server_reports(|reports| {
+            reports.current(now).map(slow_servers_to_wire).collect()
         }),
         crash_digest_number: gateway.with_crashes(|crashes| crashes.digest(now)),
         limits: limits
@@ -351,8 +351,8 @@
             gateway.apply_update(table, &update_from_wire(table_update), "peer");
         }
     }
-    if let Some(stored) = &message.configuration_kept {
-        gateway.apply_retained_configuration(&update_from_wire(stored));
+    if let Some(retained) = &message.configuration_kept {
+        gateway.apply_retained_configuration(&update_from_wire(retained));
     }
     unknown
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -191,8 +191,8 @@
 
 /// The reply to a permit request of another gateway.
 pub(crate) fn reply<P: Platform>(gateway: &Gateway<P>, request: &PermitsAsked) -> PeerNews {
-    // After a suspension of this process, a request may be as old as the suspension: the share in
-    // it may not be delegated any more.
+    // A request that is read after a suspension of this process may be as old as the suspension.
+    // The sender may have stopped delegating its share meanwhile.
     let is_fresh = gateway.recent_suspension(LATE_READ_WINDOW).is_none();
     let hands_over = request.hands_over && is_fresh;
     let granted = grant_locally(gateway, &PermitsAsked { hands_over, ..request.clone() });
--- a/crates/direct/src/platform.rs
+++ b/crates/direct/src/platform.rs
@@ -240,8 +240,8 @@
     /// Stores some requests with their crashes, and removes others.
     fn write_crashes(
         &self,
-        kept: &[StoredCrashes],
-        gone: &[Fingerprint],
+        stored: &[StoredCrashes],
+        removed: &[Fingerprint],
     ) -> impl Future<Output = Result<(), Failure>>;
 
     /// Encodes a request to an engine.
@@ -281,8 +281,8 @@
     /// request.
     fn asks_for_endpoints(&self, path: &str, query: &str) -> Option<String>;
 
-    /// The list of gateways for a caller, with its media type.
-    fn endpoints(&self, found: &[SocketAddr], keep: Duration) -> (HeaderValue, Bytes);
+    /// The list of gateways for a caller, which may cache it for `ttl`, with its media type.
+    fn endpoints(&self, addresses: &[SocketAddr], ttl: Duration) -> (HeaderValue, Bytes);
 
     /// Whether a path requests readiness.
     fn asks_for_readiness(&self, path: &str) -> bool;
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -150,7 +150,7 @@
     if let Some(source) = relay.source.take() {
         source.recycle(&relay.gateway);
     }
-    relay.gateway.note_completed(relay.request.fingerprint);
+    relay.gateway.record_completed_request(relay.request.fingerprint);
     relay.gateway.metrics.answered.inc();
     Some(Bytes::from(remaining)).filter(|remaining| !remaining.is_empty())
 }
@@ -163,7 +163,7 @@
     let is_starting = !relay.has_body_bytes && matches!(item, SourceItem::Truncated);
     let progress = if is_starting { Progress::Starting } else { Progress::Running };
     let (server, progress) = (source.guard.server(), progress(source.began_at));
-    relay.gateway.note_truncated(server, relay.request.fingerprint, progress).await;
+    relay.gateway.record_truncated_answer(server, relay.request.fingerprint, progress).await;
 }
 
 /// The next item of the source; `None` if the stream has ended.
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -46,9 +46,9 @@
 /// Bounds of the cost of a request, in typical requests. Length hints of callers are often far off.
 const COST_RANGE: (f64, f64) = (0.25, 4.0);
 
-/// Uptime of the process at which callers are told to retry while no configuration is known. A
-/// gateway reads the configuration within 0.1 s of its start, but after a loss of power the groups
-/// form anew during that time.
+/// Uptime of the process at which a caller is to retry that was refused because no configuration is
+/// known. A gateway reads the configuration within 0.1 s of its start, but after a loss of power
+/// the groups form anew meanwhile.
 const RETRY_AFTER_NOT_READY: Millis = Millis(2_000);
 
 /// The lowest priority, as defined by [`Route`]; 0 is the highest.
--- a/crates/direct/src/sidecar.rs
+++ b/crates/direct/src/sidecar.rs
@@ -96,7 +96,7 @@
     let listener = TcpListener::bind(&settings.listen)
         .await
         .wrap_err_with(|| format!("cannot listen on {}", settings.listen))?;
-    // Orders of this process are local ones for its engine, which it always accepts.
+    // Orders of this process are local ones, which its engine always accepts.
     let engines = Rc::new(Engines::new(Some(settings.engine.parse()?), decode_counts, |_| false));
     spdlog::info!("sidecar of {} started", settings.engine);
     let log_error =
@@ -153,7 +153,7 @@
     match time::timeout(ENGINE_TIMEOUT, engines.relay_request(request)).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) | Err(_) => {
-            // This status says nothing about an order: the engine may have accepted it.
+            // This status does not mean that an order was refused: the engine may have accepted it.
             let mut answer = Response::new(Full::default());
             *answer.status_mut() = StatusCode::BAD_GATEWAY;
             answer
--- a/crates/direct/src/table_sync.rs
+++ b/crates/direct/src/table_sync.rs
@@ -70,15 +70,15 @@
         match response {
             Ok(update) if whole && update.revision < gateway.revision(table) => {
                 // The store returned an older state than this gateway has received from peers.
-                gateway.note_store(true, &"");
+                gateway.record_store_answers(true, &"");
                 if !is_stale {
-                    gateway.note_old_table(table, update.revision);
+                    gateway.record_stale_table(table, update.revision);
                 }
                 is_stale = true;
                 time::sleep(STALE_RETRY_PAUSE).await;
             }
             Ok(update) => {
-                gateway.note_store(true, &"");
+                gateway.record_store_answers(true, &"");
                 gateway.apply_update(table, &update, "store");
                 (whole, is_stale) = (false, false);
                 if !update.changes.is_empty() {
@@ -93,7 +93,7 @@
                 whole = true;
             }
             Err(failure) => {
-                gateway.note_store(false, &failure);
+                gateway.record_store_answers(false, &failure);
                 time::sleep(pause).await;
                 // Without any copy of the table this gateway cannot serve, so the pause stays
                 // short.
@@ -106,8 +106,8 @@
     }
 }
 
-/// Checks rows that the store has lost until their servers have written them again or the wait for
-/// them has lapsed, whenever there are any. Runs until the process ends.
+/// Waits for rows that the store has lost. Checks them until their servers have written them again
+/// or they have expired. Runs until the process ends.
 pub async fn watch_unconfirmed_rows<P: Platform>(gateway: Rc<Gateway<P>>) {
     loop {
         gateway.rows_lost.notified().await;
@@ -150,8 +150,8 @@
     // The row of a process that stops is removed, and must not be written again.
     while gateway.phase() == Phase::Running {
         let own = gateway.with_members(|members| members.own().clone());
-        // After a new era of the store the row is written again without a read: the other gateways
-        // gossip what they write again, too.
+        // After a new era of the store the row is written again without a read: rows that other
+        // gateways write again are known by gossip, too.
         let mut reads = true;
         if row_era < gateway.era() || row_era.is_none() {
             reads = row_era.is_none();
@@ -185,8 +185,8 @@
 
 /// Applies the table of gateways, and removes the rows of gateways that do not exist any more.
 async fn apply_members_table<P: Platform>(gateway: &Gateway<P>, update: &Update) {
-    // The gateways listed so far are recorded when a new era is noted, so that comes first.
-    gateway.note_era(update.revision.era);
+    // Recording a new era also records which gateways were listed before it, so it comes first.
+    gateway.record_era(update.revision.era);
     if gateway.era() > Some(update.revision.era) {
         return;
     }
