--- a/crates/direct/src/callers.rs
+++ b/crates/direct/src/callers.rs
@@ -197,7 +197,7 @@
     }
     let busy = || gateway.with_pool(|pool| pool.busy_fraction(&request.service));
     let Some(admission) = request.admission_request(busy) else { return Ok(()) };
-    match gateway.entrance(&request.service).admit(admission).await {
+    match gateway.admission_queue(&request.service).admit(admission).await {
         Ok(admitted) => {
             request.admitted_stream = Some(admitted);
             Ok(())
--- a/crates/direct/src/gateway.rs
+++ b/crates/direct/src/gateway.rs
@@ -147,7 +147,7 @@
     era_began_at: Cell<Option<Millis>>,
     budgets: ByService<RetryBudget>,
     outages: ByService<Outages>,
-    entrances: ByService<Rc<AdmissionQueue>>,
+    admission_queues: ByService<Rc<AdmissionQueue>>,
     heads: ByService<Heads>,
     budget: Cell<budget::Config>,
     /// Sidecars that did not answer, and until when each is skipped.
@@ -209,7 +209,7 @@
             era_began_at: Cell::default(),
             budgets: ByService::default(),
             outages: ByService::default(),
-            entrances: ByService::default(),
+            admission_queues: ByService::default(),
             heads: ByService::default(),
             budget: Cell::new(budget),
             unanswered_sidecars: RefCell::default(),
@@ -422,11 +422,11 @@
     }
 
     /// Admission of streams of a service.
-    pub fn entrance(&self, service: &str) -> Rc<AdmissionQueue> {
-        self.entrances.with(
+    pub fn admission_queue(&self, service: &str) -> Rc<AdmissionQueue> {
+        self.admission_queues.with(
             service,
             || AdmissionQueue::new(self.clock),
-            |entrance| entrance.clone(),
+            |admission_queue| admission_queue.clone(),
         )
     }
 
--- a/crates/direct/src/gateway/server_notices.rs
+++ b/crates/direct/src/gateway/server_notices.rs
@@ -37,7 +37,7 @@
         if let Some(service) = all_unavailable_for {
             // Waiting streams are released now: each gets a refusal with the time at which to
             // retry.
-            self.entrance(&service).admit_all();
+            self.admission_queue(&service).admit_all();
         }
         Some(asked)
     }
