--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -13,20 +13,20 @@
 use eyre::Result;
 use eyre::eyre;
 use hooktrestle_embedded::Fleet;
-use hooktrestle_embedded::Pace;
+use hooktrestle_embedded::Intervals;
 use hooktrestle_embedded::key_sha256_hex;
 use hooktrestle_fakes::engine::Behaviour;
 use serde_json::Value;
 use serde_json::json;
 
 /// How long each point is measured.
-const MEASURE: Duration = Duration::from_secs(12);
+const MEASUREMENT: Duration = Duration::from_secs(12);
 
 /// Ticks a second in which the kernel counts processor time.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 /// The pace of the default settings.
-const PACE: Pace = Pace { poll_ms: 1_500, heartbeat_ms: 2_000 };
+const DEFAULT_INTERVALS: Intervals = Intervals { poll_ms: 1_500, heartbeat_ms: 2_000 };
 
 /// One size.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     /// Bytes a second over loopback, each counted once.
     pub bytes_per_s: f64,
     /// Cores' time, as a part of one core.
-    pub core_share: f64,
+    pub core_fraction: f64,
     /// Resident memory of the whole process, in bytes.
     pub memory_bytes: f64,
     /// Reads of the table service and object store a second.
@@ -60,7 +60,7 @@
     /// Constant, for each gateway, for each sidecar, for each link.
     pub terms: [f64; 4],
     /// Largest deviation of a point from the fit, over the largest point.
-    pub worst: f64,
+    pub max_deviation: f64,
 }
 
 impl Size {
@@ -81,7 +81,7 @@
 /// The fleet cannot start, or the kernel's counters cannot be read.
 pub async fn measure(size: Size) -> Result<Point> {
     let mut fleet = Fleet::start().await?;
-    fleet.pace = PACE;
+    fleet.intervals = DEFAULT_INTERVALS;
     for number in 0..size.gateways {
         fleet.add_gateway(&format!("entry-{number}"), "dc-1").await?;
     }
@@ -106,12 +106,12 @@
     fleet.wait_linked("hints", size.sidecars).await;
     let reads = fleet.fake.counts().0;
     let (bytes, cpu, start) = (loopback_bytes()?, cpu_s()?, Instant::now());
-    tokio::time::sleep(MEASURE).await;
+    tokio::time::sleep(MEASUREMENT).await;
     let took_s = start.elapsed().as_secs_f64();
     Ok(Point {
         size,
         bytes_per_s: (loopback_bytes()? - bytes) / took_s,
-        core_share: (cpu_s()? - cpu) / took_s,
+        core_fraction: (cpu_s()? - cpu) / took_s,
         memory_bytes: memory_bytes()?,
         reads_per_s: (fleet.fake.counts().0 - reads) as f64 / took_s,
     })
@@ -139,7 +139,7 @@
         point.size.row().iter().zip(terms).map(|(a, term)| a * term).sum()
     };
     let errors = points.iter().map(|point| (predicted(point) - value(point)).abs());
-    Ok(Fit { terms, worst: errors.fold(0.0, f64::max) / largest })
+    Ok(Fit { terms, max_deviation: errors.fold(0.0, f64::max) / largest })
 }
 
 /// Gaussian elimination with the largest pivot.
--- a/crates/bench/src/control_report.rs
+++ b/crates/bench/src/control_report.rs
@@ -39,7 +39,7 @@
     let accounts = run(&ACCOUNTS)?;
     let idle = &run(&SIZES)?;
     let bytes = fit(idle, |point| point.bytes_per_s)?;
-    let core = fit(idle, |point| point.core_share)?;
+    let core = fit(idle, |point| point.core_fraction)?;
     let reads = fit(idle, |point| point.reads_per_s)?;
     slopes("bytes/s", &bytes);
     slopes("core share", &core);
@@ -75,7 +75,7 @@
         point.size.links(),
         point.size.accounts,
         point.bytes_per_s,
-        point.core_share * 100.0,
+        point.core_fraction * 100.0,
         point.memory_bytes / 1e6,
         point.reads_per_s
     );
@@ -86,7 +86,7 @@
     println!(
         "{what}: {constant:.4} + {gateway:.4} a gateway + {sidecar:.4} a sidecar + {link:.4} a link; \
          worst deviation {:.1}% of the largest point",
-        fit.worst * 100.0
+        fit.max_deviation * 100.0
     );
 }
 
--- a/crates/bench/src/demand.rs
+++ b/crates/bench/src/demand.rs
@@ -24,13 +24,13 @@
 const THEME_TICKS: u64 = 8 * 60 / TICK_S;
 
 /// Mean ticks from one theme to the next.
-const THEME_EVERY_TICKS: f64 = 120.0;
+const MEAN_THEME_INTERVAL_TICKS: f64 = 120.0;
 
 /// How much more popular a theme makes its experts.
 const THEME_FACTOR: f64 = 4.0;
 
 /// Share of counts that never come.
-const GAP_SHARE: f64 = 0.05;
+const MISSING_FRACTION: f64 = 0.05;
 
 /// What demand looks like.
 #[derive(Clone, Copy, Debug)]
@@ -99,8 +99,8 @@
                 Poisson::new(mean).map_or(0.0, |poisson| poisson.sample(&mut self.rng))
             })
             .collect();
-        let gap = self.rng.random_bool(GAP_SHARE);
-        let late_counts = self.last.replace(tokens.clone()).filter(|_| !gap);
+        let is_missing = self.rng.random_bool(MISSING_FRACTION);
+        let late_counts = self.last.replace(tokens.clone()).filter(|_| !is_missing);
         self.tick += 1;
         Tick { tokens, late_counts }
     }
@@ -123,7 +123,7 @@
         if self.tick >= self.theme_ends {
             self.theme.clear();
         }
-        if self.theme.is_empty() && self.rng.random_bool(1.0 / THEME_EVERY_TICKS) {
+        if self.theme.is_empty() && self.rng.random_bool(1.0 / MEAN_THEME_INTERVAL_TICKS) {
             let some = self.config.experts / 32;
             let mut all: Vec<usize> = (0..self.config.experts).collect();
             all.shuffle(&mut self.rng);
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -32,7 +32,7 @@
 use tokio::time::Instant;
 
 /// Time between two ticks of the timer: a sender that is late by less is not late.
-const TICK: Duration = Duration::from_millis(1);
+const TIMER_TICK: Duration = Duration::from_millis(1);
 
 /// How long callers wait.
 const DEADLINE_MS: u64 = 3_000;
@@ -107,10 +107,10 @@
     let fleet = Fleet::start(1, &config.program, &config.folder, &site, ledger).await?;
     let gateway = fleet.gateways[0].clone();
     let client = Client::new();
-    let patience = Instant::now() + Bounds::default().recovery;
+    let ready_deadline = Instant::now() + Bounds::default().recovery;
     while !caller::is_ready(&client, gateway.at.readiness).await {
-        ensure!(Instant::now() < patience, "the gateway is not ready");
-        time::sleep(TICK).await;
+        ensure!(Instant::now() < ready_deadline, "the gateway is not ready");
+        time::sleep(TIMER_TICK).await;
     }
     let process = Process(gateway.process_id().ok_or_else(|| eyre!("the gateway has ended"))?);
     let (direct, through) = (server.address, gateway.at.callers);
@@ -149,7 +149,7 @@
     for number in 0..count {
         let due = start + gap * number;
         time::sleep_until(due).await;
-        let from = if due.elapsed() > TICK { due } else { Instant::now() };
+        let from = if due.elapsed() > TIMER_TICK { due } else { Instant::now() };
         let id = format!("load-{number}");
         let request = caller::request(&client, to, "/safe/0", &id, DEADLINE_MS);
         sent.push(task::spawn_local(async move {
@@ -181,7 +181,7 @@
         let request = caller::request(&client, to, &path, &id, 60 * DEADLINE_MS);
         // One that breaks off has no whole events, and is seen by that.
         open.push(task::spawn_local(async move { events(request).await.unwrap_or_default() }));
-        time::sleep(TICK).await;
+        time::sleep(TIMER_TICK).await;
     }
     // All are open in the middle of their events.
     time::sleep(EVENT_PAUSE * config.events / 2).await;
@@ -219,9 +219,9 @@
 impl Process {
     /// Processor time that all its threads have spent.
     fn processor(&self) -> Result<Duration> {
-        let told = self.told("stat")?;
+        let proc_file = self.proc_file("stat")?;
         // Behind the name, which may hold blanks.
-        let fields = told.rsplit(')').next().unwrap_or_default();
+        let fields = proc_file.rsplit(')').next().unwrap_or_default();
         let ticks: Vec<u64> =
             fields.split_whitespace().skip(11).take(2).map(str::parse).collect::<Result<_, _>>()?;
         let a_second = rustix::param::clock_ticks_per_second();
@@ -230,13 +230,13 @@
 
     /// Memory that it has now.
     fn memory_bytes(&self) -> Result<u64> {
-        let told = self.told("status")?;
-        let line = told.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+        let proc_file = self.proc_file("status")?;
+        let line = proc_file.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().next());
         Ok(kilobytes.ok_or_else(|| eyre!("no VmRSS"))?.parse::<u64>()? * 1_024)
     }
 
-    fn told(&self, file: &str) -> Result<String> {
+    fn proc_file(&self, file: &str) -> Result<String> {
         let path = Path::new("/proc").join(self.0.to_string()).join(file);
         Ok(fs::read_to_string(path)?)
     }
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -25,7 +25,7 @@
 
 /// One way to the backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct PathTimes {
     /// Median time to the first byte, in microseconds.
     pub first_p50_us: u64,
     /// 99th of 100.
@@ -41,19 +41,19 @@
 /// # Errors
 ///
 /// The fleet cannot start, or a call fails.
-pub async fn measure() -> Result<[Way; 2]> {
+pub async fn measure() -> Result<[PathTimes; 2]> {
     let fleet = start().await?;
     let app = fleet.app("plain-1").url();
     let engine = fleet.engine("model-1").url();
     let gateway = Caller::new(&fleet.url("entry-1"), KEY)?;
     let direct_app = Caller::new(&app, KEY)?;
     let direct_engine = Caller::new(&engine, KEY)?;
-    let direct = way(
+    let direct = measure_path(
         |number| direct_app.post(&format!("/direct/{number}")).body("x"),
         |number| direct_engine.chat("model", &format!("d-{number}"), STREAM_TOKENS, true),
     )
     .await?;
-    let through = way(
+    let through = measure_path(
         |number| gateway.plain("plain", &format!("through/{number}"), "x".to_owned()),
         |number| gateway.chat("model", &format!("t-{number}"), STREAM_TOKENS, true),
     )
@@ -61,10 +61,10 @@
     Ok([direct, through])
 }
 
-async fn way(
+async fn measure_path(
     call: impl Fn(usize) -> reqwest::RequestBuilder,
     stream: impl Fn(usize) -> reqwest::RequestBuilder,
-) -> Result<Way> {
+) -> Result<PathTimes> {
     for number in 0..50 {
         finish(call(number)).await?;
     }
@@ -85,7 +85,7 @@
         ensure!(matches!(outcome, Outcome::Whole(_)), "a stream ended as {outcome:?}");
     }
     let tokens = STREAMS as f64 * STREAM_TOKENS as f64;
-    Ok(Way {
+    Ok(PathTimes {
         first_p50_us: first.value_at_quantile(0.5),
         first_p99_us: first.value_at_quantile(0.99),
         tokens_per_s: tokens / start.elapsed().as_secs_f64(),
--- a/crates/bench/src/placement.rs
+++ b/crates/bench/src/placement.rs
@@ -23,10 +23,10 @@
 pub const LOAD_MS: f64 = 20.0;
 
 /// Longest time that popularity is expected to last.
-const LASTS_AT_MOST_MS: f64 = 15.0 * 60.0 * 1000.0;
+const MAX_POPULARITY_LIFETIME_MS: f64 = 15.0 * 60.0 * 1000.0;
 
 /// Part of the time in which a group steps, so that a shorter step saves time.
-const BUSY_SHARE: f64 = 0.8;
+const BUSY_FRACTION: f64 = 0.8;
 
 /// Ticks between two full repacks: a minute.
 const REPACK_TICKS: usize = 60 / TICK_S as usize;
@@ -36,7 +36,7 @@
 const WARM_UP_TICKS: usize = 12;
 
 /// Most loads that one plan asks for.
-const MOST_LOADS: usize = 96;
+const MAX_LOADS_PER_PLAN: usize = 96;
 
 /// Size of the group and its layer.
 #[derive(Clone, Copy, Debug)]
@@ -114,7 +114,7 @@
 
     /// What the operator's weights make of it: milliseconds lost to the slowest rank and to moves.
     pub fn cost(&self, weights: Weights) -> f64 {
-        let tick_ms = (TICK_S * 1000) as f64 * BUSY_SHARE;
+        let tick_ms = (TICK_S * 1000) as f64 * BUSY_FRACTION;
         let slow: f64 = self.skews.iter().map(|skew| (skew - 1.0) * tick_ms).sum();
         weights.skew * slow + weights.rebalance * self.lost_ms()
     }
@@ -125,20 +125,20 @@
 }
 
 /// The value below which this part of the values lies.
-pub fn quantile(values: &[f64], part: f64) -> f64 {
+pub fn quantile(values: &[f64], fraction: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     let last = sorted.len().saturating_sub(1);
-    sorted.get((part * last as f64).round() as usize).copied().unwrap_or(f64::NAN)
+    sorted.get((fraction * last as f64).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
 /// The configuration of the planner for an operator's weights.
 pub fn config(weights: Weights) -> Config {
     Config {
-        weight_skew: weights.skew * BUSY_SHARE,
+        weight_skew: weights.skew * BUSY_FRACTION,
         weight_rebalance: weights.rebalance,
         load_ms: LOAD_MS,
-        max_loads: MOST_LOADS,
+        max_loads: MAX_LOADS_PER_PLAN,
     }
 }
 
@@ -153,24 +153,25 @@
     };
     let mut outcome =
         Outcome { skews: Vec::new(), bounds: Vec::new(), spreads: Vec::new(), moves: 0 };
-    let mut minute = vec![0.0; experts];
+    let mut minute_tokens = vec![0.0; experts];
     for (number, tick) in ticks.iter().enumerate() {
         if let Some(counts) = &tick.late_counts {
             popularity.observe(counts);
-            minute.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+            minute_tokens.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
             if let Some(planner) = &mut planner {
-                let lasts_ms = lasts_ms(&popularity);
-                let moves = planner.plan(&mut layout, popularity.shares(), &[], lasts_ms);
+                let popularity_lifetime_ms = popularity_lifetime_ms(&popularity);
+                let moves =
+                    planner.plan(&mut layout, popularity.shares(), &[], popularity_lifetime_ms);
                 outcome.moves += moves.len();
             }
         }
         if matches!(policy, Policy::Repack) && number % REPACK_TICKS == REPACK_TICKS - 1 {
-            if minute.iter().sum::<f64>() > 0.0 {
-                let packed = baseline::pack(&minute, group.ranks, group.slots);
+            if minute_tokens.iter().sum::<f64>() > 0.0 {
+                let packed = baseline::pack(&minute_tokens, group.ranks, group.slots);
                 outcome.moves += layout.weight_loads_to(&packed);
                 layout = packed;
             }
-            minute.fill(0.0);
+            minute_tokens.fill(0.0);
         }
         if number >= WARM_UP_TICKS {
             record(&mut outcome, &layout, group, &tick.tokens);
@@ -179,8 +180,8 @@
     outcome
 }
 
-fn lasts_ms(popularity: &Popularity) -> f64 {
-    (popularity.stable_counts() * (TICK_S * 1000) as f64).min(LASTS_AT_MOST_MS)
+fn popularity_lifetime_ms(popularity: &Popularity) -> f64 {
+    (popularity.stable_counts() * (TICK_S * 1000) as f64).min(MAX_POPULARITY_LIFETIME_MS)
 }
 
 fn record(outcome: &mut Outcome, layout: &Layout, group: Group, tokens: &[f64]) {
@@ -220,8 +221,13 @@
         for (layer, tick) in ticks.iter().enumerate() {
             if let Some(counts) = &tick.late_counts {
                 estimates[layer].observe(counts);
-                let lasts_ms = lasts_ms(&estimates[layer]);
-                planner.plan(&mut layouts[layer], estimates[layer].shares(), &[], lasts_ms);
+                let popularity_lifetime_ms = popularity_lifetime_ms(&estimates[layer]);
+                planner.plan(
+                    &mut layouts[layer],
+                    estimates[layer].shares(),
+                    &[],
+                    popularity_lifetime_ms,
+                );
             }
         }
         let took_ms = start.elapsed().as_secs_f64() * 1e3;
--- a/crates/bench/src/plans.rs
+++ b/crates/bench/src/plans.rs
@@ -12,13 +12,13 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Exponent of the power law of popularity.
-const EXPONENT: f64 = 0.9;
+const ZIPF_EXPONENT: f64 = 0.9;
 
 /// Part of the mean load that one copy has to gain; what the leader uses.
-const PRICE: f64 = 0.06;
+const COPY_COST: f64 = 0.06;
 
 /// How long the rank that is slow takes, over the usual time.
-const SLOW_PACE: f64 = 5.0;
+const SLOW_RANK_PACE: f64 = 5.0;
 
 /// Switches after which the skew is told: about 2 s at the users.
 const SWITCHES: usize = 4;
@@ -44,7 +44,7 @@
     /// Mean time of a plan for all sets.
     pub plan: Duration,
     /// Mean skew of the sets with experts dealt out in turn.
-    pub dealt: f64,
+    pub initial: f64,
     /// The same after some switches.
     pub planned: f64,
 }
@@ -55,26 +55,31 @@
     let limits = limits(&shape);
     let demands: Vec<Vec<f64>> =
         (0..shape.sets).map(|_| popularity(shape.experts, &mut rng)).collect();
-    let dealt = vec![expert_plan::round_robin(shape.experts, shape.ranks); shape.sets];
-    let mut layout = dealt.clone();
-    let began = Instant::now();
+    let initial = vec![expert_plan::round_robin(shape.experts, shape.ranks); shape.sets];
+    let mut layout = initial.clone();
+    let start = Instant::now();
     for _ in 0..SWITCHES {
         for (holders, shares) in layout.iter_mut().zip(&demands) {
             *holders = expert_plan::plan(holders, shares, &limits);
         }
     }
-    let plan = began.elapsed() / SWITCHES as u32;
+    let plan = start.elapsed() / SWITCHES as u32;
     let skew = |layout: &[Vec<Holders>]| mean_skew(layout, &demands, &limits.paces);
-    Outcome { plan, dealt: skew(&dealt), planned: skew(&layout) }
+    Outcome { plan, initial: skew(&initial), planned: skew(&layout) }
 }
 
 /// Bounds of one plan: a copy a rank, at the paces of the shape's ranks.
 fn limits(shape: &Shape) -> Limits {
     let mut paces = vec![1.0; shape.ranks];
     if shape.one_slow {
-        paces[shape.ranks / 2] = SLOW_PACE;
+        paces[shape.ranks / 2] = SLOW_RANK_PACE;
+    }
+    Limits {
+        places: shape.places,
+        max_new_experts: vec![1; shape.ranks],
+        copy_cost: COPY_COST,
+        paces,
     }
-    Limits { places: shape.places, max_new_experts: vec![1; shape.ranks], copy_cost: PRICE, paces }
 }
 
 /// Mean skew of the sets of a layout, each under its own demand.
@@ -86,7 +91,8 @@
 
 /// How popular each expert of a set is: a power law, in an order that is drawn.
 fn popularity(experts: usize, rng: &mut ChaCha8Rng) -> Vec<f64> {
-    let mut shares: Vec<f64> = (1..=experts).map(|place| (place as f64).powf(-EXPONENT)).collect();
+    let mut shares: Vec<f64> =
+        (1..=experts).map(|place| (place as f64).powf(-ZIPF_EXPONENT)).collect();
     shares.shuffle(rng);
     shares
 }
--- a/crates/bench/src/plans_report.rs
+++ b/crates/bench/src/plans_report.rs
@@ -30,7 +30,7 @@
             println!(
                 "{ranks:>5} {experts:>7} {places:>6} {sets:>4} {one_slow:>8} {plan_ms:>9.1} \
                  {:>7.3} {:>8.3}",
-                outcome.dealt, outcome.planned
+                outcome.initial, outcome.planned
             );
         }
     }
--- a/crates/bench/src/process_report.rs
+++ b/crates/bench/src/process_report.rs
@@ -2,9 +2,9 @@
 
 use eyre::Result;
 use hooktrestle_bench::path;
-use hooktrestle_bench::path::Way;
+use hooktrestle_bench::path::PathTimes;
 use hooktrestle_bench::switch;
-use hooktrestle_bench::switch::Trouble;
+use hooktrestle_bench::switch::Fault;
 use tokio::runtime::Runtime;
 
 /// Configurations that are timed.
@@ -14,10 +14,10 @@
 pub(crate) fn path() -> Result<()> {
     let [direct, through] = Runtime::new()?.block_on(path::measure())?;
     println!("way      first byte p50 us   p99 us   calls/s   streamed tokens/s");
-    let line = |name: &str, way: &Way| {
+    let line = |name: &str, times: &PathTimes| {
         println!(
             "{name:<8} {:>17} {:>8} {:>9.0} {:>19.0}",
-            way.first_p50_us, way.first_p99_us, way.calls_per_s, way.tokens_per_s
+            times.first_p50_us, times.first_p99_us, times.calls_per_s, times.tokens_per_s
         );
     };
     line("direct", &direct);
@@ -35,11 +35,11 @@
 /// Prints steps run and held under each trouble.
 pub(crate) fn switch() -> Result<()> {
     println!("trouble        steps   held  maps  steps with a fault");
-    for trouble in [Trouble::None, Trouble::FailedLoads, Trouble::Restarts] {
-        let steps = Runtime::new()?.block_on(switch::measure(trouble))?;
+    for fault in [Fault::None, Fault::FailedLoads, Fault::Restarts] {
+        let steps = Runtime::new()?.block_on(switch::measure(fault))?;
         println!(
             "{:<12} {:>7} {:>6} {:>5} {:>19}",
-            format!("{trouble:?}"),
+            format!("{fault:?}"),
             steps.run,
             steps.held,
             steps.map_version,
@@ -52,7 +52,7 @@
 /// Prints times from a write to in force.
 pub(crate) fn config() -> Result<()> {
     let times_s = Runtime::new()?.block_on(switch::in_force(CONFIG_ROUNDS))?;
-    let at = |part: f64| times_s[((times_s.len() - 1) as f64 * part).round() as usize];
+    let at = |fraction: f64| times_s[((times_s.len() - 1) as f64 * fraction).round() as usize];
     println!("config: p50={:.2} s p95={:.2} s max={:.2} s", at(0.5), at(0.95), at(1.0));
     Ok(())
 }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -66,9 +66,9 @@
             }
         }
     }
-    let decide = decide_ms(TARGET, demand_config(256, 0.9, seed), LAYERS, KIVUKO);
+    let decision_ms = decide_ms(TARGET, demand_config(256, 0.9, seed), LAYERS, KIVUKO);
     println!(
-        "placement: skew_ratio={skew_ratio:.4} moved_ratio={moved_ratio:.4} decide_ms={decide:.1}"
+        "placement: skew_ratio={skew_ratio:.4} moved_ratio={moved_ratio:.4} decide_ms={decision_ms:.1}"
     );
 }
 
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -19,14 +19,14 @@
 use rand_distr::Exp;
 
 /// Requests that a server runs at once.
-const RUNNING: usize = 8;
+const MAX_RUNNING_REQUESTS: usize = 8;
 
 /// Mean time of one request, in milliseconds.
 const MEAN_RUN_MS: f64 = 400.0;
 
 /// Time between two reports of a server, and how late they are.
-const REPORT_EVERY_MS: f64 = 1_000.0;
-const REPORT_LATE_MS: f64 = 200.0;
+const REPORT_INTERVAL_MS: f64 = 1_000.0;
+const REPORT_DELAY_MS: f64 = 200.0;
 
 /// How a server is chosen.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     /// The less loaded of two, as last reported.
     TwoReported,
     /// Ours: turns, and reports.
-    Ours(routing::Config),
+    Gateway(routing::Config),
 }
 
 /// Sizes and load.
@@ -79,23 +79,23 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct At(f64, u64, Event);
+struct Scheduled(f64, u64, Event);
 
-impl PartialEq for At {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for At {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for At {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for At {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
     }
@@ -109,23 +109,23 @@
     served: u64,
 }
 
-struct World {
+struct Simulation {
     config: Config,
     policy: Policy,
     rng: ChaCha8Rng,
     now_ms: f64,
     counter: u64,
-    events: BinaryHeap<Reverse<At>>,
+    events: BinaryHeap<Reverse<Scheduled>>,
     servers: Vec<Server>,
     views: Vec<Vec<Candidate>>,
-    turns: Vec<usize>,
+    last_chosen: Vec<usize>,
     first_ms: Vec<f64>,
 }
 
 /// Runs one policy.
 pub fn run(policy: Policy, config: Config) -> Outcome {
     let candidate = Candidate { weight: 1, usable: true, ..Candidate::default() };
-    let mut world = World {
+    let mut simulation = Simulation {
         policy,
         rng: ChaCha8Rng::seed_from_u64(config.seed),
         now_ms: 0.0,
@@ -133,43 +133,43 @@
         events: BinaryHeap::new(),
         servers: (0..config.servers).map(|_| Server::default()).collect(),
         views: vec![vec![candidate; config.servers]; config.gateways],
-        turns: (0..config.gateways).collect(),
+        last_chosen: (0..config.gateways).collect(),
         first_ms: Vec::new(),
         config,
     };
-    world.start();
-    while let Some(Reverse(At(at_ms, _, event))) = world.events.pop() {
+    simulation.start();
+    while let Some(Reverse(Scheduled(at_ms, _, event))) = simulation.events.pop() {
         if at_ms > config.duration_ms {
             break;
         }
-        world.now_ms = at_ms;
-        world.happen(event);
+        simulation.now_ms = at_ms;
+        simulation.handle(event);
     }
-    world.outcome()
+    simulation.outcome()
 }
 
-impl World {
+impl Simulation {
     fn start(&mut self) {
-        self.after(0.0, Event::Arrive);
+        self.schedule(0.0, Event::Arrive);
         for server in 0..self.config.servers {
-            let first_ms = REPORT_EVERY_MS * server as f64 / self.config.servers as f64;
-            self.after(first_ms, Event::Report { server });
+            let first_ms = REPORT_INTERVAL_MS * server as f64 / self.config.servers as f64;
+            self.schedule(first_ms, Event::Report { server });
         }
         if self.config.stalls {
-            self.after(2_000.0, Event::Stall { server: 0, on: true });
+            self.schedule(2_000.0, Event::Stall { server: 0, on: true });
         }
     }
 
-    fn after(&mut self, span_ms: f64, event: Event) {
+    fn schedule(&mut self, span_ms: f64, event: Event) {
         self.counter += 1;
-        self.events.push(Reverse(At(self.now_ms + span_ms, self.counter, event)));
+        self.events.push(Reverse(Scheduled(self.now_ms + span_ms, self.counter, event)));
     }
 
     fn draw(&mut self, mean_ms: f64) -> f64 {
         Exp::new(1.0 / mean_ms).map_or(mean_ms, |spread| spread.sample(&mut self.rng))
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
             Event::Finish { server, gateway } => {
@@ -180,26 +180,27 @@
             Event::Report { server } => {
                 let queued = self.servers[server].waiting.len() as u32;
                 let running = self.servers[server].running as u32;
-                self.after(REPORT_LATE_MS, Event::Deliver { server, queued, running });
-                self.after(REPORT_EVERY_MS, Event::Report { server });
+                self.schedule(REPORT_DELAY_MS, Event::Deliver { server, queued, running });
+                self.schedule(REPORT_INTERVAL_MS, Event::Report { server });
             }
             Event::Deliver { server, queued, running } => self.deliver(server, queued, running),
             Event::Stall { server, on } => {
                 self.servers[server].stalled = on;
                 let span_ms = if on { 1_000.0 } else { 4_000.0 };
-                self.after(span_ms, Event::Stall { server, on: !on });
+                self.schedule(span_ms, Event::Stall { server, on: !on });
                 self.fill(server);
             }
         }
     }
 
     fn arrive(&mut self) {
-        let per_ms = self.config.load * (self.config.servers * RUNNING) as f64 / MEAN_RUN_MS;
+        let per_ms =
+            self.config.load * (self.config.servers * MAX_RUNNING_REQUESTS) as f64 / MEAN_RUN_MS;
         let next_ms = self.draw(1.0 / per_ms);
-        self.after(next_ms, Event::Arrive);
+        self.schedule(next_ms, Event::Arrive);
         let gateway = self.rng.random_range(0..self.config.gateways);
         let server = self.choose(gateway);
-        if !matches!(self.policy, Policy::Ours(_)) {
+        if !matches!(self.policy, Policy::Gateway(_)) {
             self.views[gateway][server].own_requests += 1;
         }
         self.servers[server].waiting.push_back((self.now_ms, gateway));
@@ -216,15 +217,15 @@
         match self.policy {
             Policy::Random => self.rng.random_range(0..count),
             Policy::RoundRobin => {
-                self.turns[gateway] = (self.turns[gateway] + 1) % count;
-                self.turns[gateway]
+                self.last_chosen[gateway] = (self.last_chosen[gateway] + 1) % count;
+                self.last_chosen[gateway]
             }
             Policy::LeastReported => (0..count).min_by_key(|server| reported(*server)).unwrap_or(0),
             Policy::TwoReported => {
                 let pair = [self.rng.random_range(0..count), self.rng.random_range(0..count)];
                 if reported(pair[1]) < reported(pair[0]) { pair[1] } else { pair[0] }
             }
-            Policy::Ours(config) => {
+            Policy::Gateway(config) => {
                 let now = Millis(self.now_ms as u64);
                 let view = &mut self.views[gateway];
                 routing::choose(&config, view, &[], 1.0, now, &mut self.rng).unwrap_or(0)
@@ -234,7 +235,7 @@
 
     /// Starts what waits, as room allows; a server that stalls starts nothing.
     fn fill(&mut self, server: usize) {
-        while !self.servers[server].stalled && self.servers[server].running < RUNNING {
+        while !self.servers[server].stalled && self.servers[server].running < MAX_RUNNING_REQUESTS {
             let Some((since_ms, gateway)) = self.servers[server].waiting.pop_front() else {
                 return;
             };
@@ -242,7 +243,7 @@
             self.servers[server].served += 1;
             self.first_ms.push(self.now_ms - since_ms);
             let run_ms = self.draw(MEAN_RUN_MS);
-            self.after(run_ms, Event::Finish { server, gateway });
+            self.schedule(run_ms, Event::Finish { server, gateway });
         }
     }
 
--- a/crates/bench/src/routing_report.rs
+++ b/crates/bench/src/routing_report.rs
@@ -31,11 +31,11 @@
 fn rows(config: Config) -> f64 {
     println!("  {:<14} {:>8} {:>8} {:>8} {:>8}", "policy", "p50 ms", "p95 ms", "p99 ms", "busiest");
     let (mut best, mut found) = (f64::MAX, f64::NAN);
-    let ours = Policy::Ours(routing::Config::default());
+    let ours = Policy::Gateway(routing::Config::default());
     let policies = BASELINES.into_iter().chain([ours]);
     for policy in policies {
         let outcome = run(policy, config);
-        let at = |part| quantile(&outcome.first_ms, part);
+        let at = |fraction| quantile(&outcome.first_ms, fraction);
         println!(
             "  {:<14} {:>8.1} {:>8.1} {:>8.1} {:>8.3}",
             name(policy),
@@ -44,7 +44,7 @@
             at(0.99),
             outcome.busiest
         );
-        if matches!(policy, Policy::Ours(_)) {
+        if matches!(policy, Policy::Gateway(_)) {
             found = at(0.95);
         } else {
             best = best.min(at(0.95));
@@ -55,7 +55,7 @@
 
 fn name(policy: Policy) -> String {
     match policy {
-        Policy::Ours(_) => "Ours".to_owned(),
+        Policy::Gateway(_) => "Ours".to_owned(),
         baseline => format!("{baseline:?}"),
     }
 }
--- a/crates/bench/src/switch.rs
+++ b/crates/bench/src/switch.rs
@@ -6,7 +6,7 @@
 use eyre::Result;
 use eyre::ensure;
 use hooktrestle_embedded::Fleet;
-use hooktrestle_embedded::Pace;
+use hooktrestle_embedded::Intervals;
 use hooktrestle_fakes::group::FakeGroup;
 use hooktrestle_fakes::group::Steps;
 use serde_json::Value;
@@ -17,14 +17,14 @@
 const SLOTS: usize = 5;
 
 /// Time that each trouble lasts.
-const MEASURE: Duration = Duration::from_secs(8);
+const MEASUREMENT: Duration = Duration::from_secs(8);
 
 /// Time between two changes of the hot set.
-const CHANGE_EVERY: Duration = Duration::from_millis(400);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What happens to the group while its hot set changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// Nothing else.
     None,
     /// One rank cannot load weights.
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// The fleet cannot start.
-pub async fn measure(trouble: Trouble) -> Result<Steps> {
+pub async fn measure(fault: Fault) -> Result<Steps> {
     let mut fleet = Fleet::start().await?;
     let group = FakeGroup::start(RANKS, EXPERTS, SLOTS);
     let mut rows = vec![
@@ -56,19 +56,19 @@
         rows.iter().map(|(key, value)| (key.as_str(), value.clone())).collect();
     fleet.edit(&edits).await?;
     fleet.wait_in_force(|config| config.servers.len() == RANKS).await;
-    group.set_fails_loads(3, trouble == Trouble::FailedLoads);
+    group.set_fails_loads(3, fault == Fault::FailedLoads);
     let start = Instant::now();
     let mut round = 0;
-    while start.elapsed() < MEASURE {
+    while start.elapsed() < MEASUREMENT {
         let mut shares = [1.0; EXPERTS];
         (0..6).for_each(|step| shares[(round * 7 + step * 11) % EXPERTS] = 8.0);
         let sum: f64 = shares.iter().sum();
         group.set_popularity(shares.iter().map(|share| share / sum).collect());
-        if trouble == Trouble::Restarts {
+        if fault == Fault::Restarts {
             let name = format!("model-{:02}", round % RANKS);
             fleet.restart_sidecar(&name, "dc-1").await?;
         }
-        tokio::time::sleep(CHANGE_EVERY).await;
+        tokio::time::sleep(CHANGE_INTERVAL).await;
         round += 1;
     }
     let steps = group.watch().borrow().clone();
@@ -83,7 +83,7 @@
 /// The fleet cannot start.
 pub async fn in_force(rounds: u32) -> Result<Vec<f64>> {
     let mut fleet = Fleet::start().await?;
-    fleet.pace = Pace { poll_ms: 1_500, heartbeat_ms: 2_000 };
+    fleet.intervals = Intervals { poll_ms: 1_500, heartbeat_ms: 2_000 };
     let mut rows = vec![
         ("data_centre:dc-1".to_owned(), json!({ "region": "home" })),
         ("service:model".to_owned(), json!({ "kind": "model" })),
--- a/crates/bench/tests/emulator.rs
+++ b/crates/bench/tests/emulator.rs
@@ -2,43 +2,43 @@
 
 use hooktrestle_bench::emulator::Outcome;
 use hooktrestle_bench::emulator::Policy;
-use hooktrestle_bench::emulator::Scene;
-use hooktrestle_bench::emulator::play;
-use hooktrestle_bench::emulator::scenes;
+use hooktrestle_bench::emulator::Scenario;
+use hooktrestle_bench::emulator::scenarios;
+use hooktrestle_bench::emulator::simulate;
 use hooktrestle_core::direct::admission;
 
-fn scene(name: &str) -> Scene {
-    let found = scenes().into_iter().find(|(other, _)| other == name);
+fn scenario(name: &str) -> Scenario {
+    let found = scenarios().into_iter().find(|(other, _)| other == name);
     found.unwrap_or_else(|| panic!("no scene {name}")).1
 }
 
 #[test]
 fn a_seed_gives_the_same_figures() {
-    let scene = scene("both, 1 of 12 ranks");
-    let ours = Policy::Ours(admission::Config::default());
-    let [one, two] = [play(&scene, ours), play(&scene, ours)];
+    let scenario = scenario("both, 1 of 12 ranks");
+    let ours = Policy::Gateway(admission::Config::default());
+    let [one, two] = [simulate(&scenario, ours), simulate(&scenario, ours)];
     assert_eq!((one.in_time, one.late, one.refused), (two.in_time, two.late, two.refused));
-    let other = play(&Scene { seed: 1, ..scene }, ours);
+    let other = simulate(&Scenario { seed: 1, ..scenario }, ours);
     assert_ne!((one.in_time, one.late), (other.in_time, other.late));
 }
 
 #[test]
 fn a_calm_group_serves_everybody_in_time() {
-    for (name, scene) in scenes().into_iter().filter(|(name, _)| name.starts_with("halts")) {
-        let calm = Scene { halts: Vec::new(), ..scene };
-        let Outcome { asked, in_time, late, .. } = play(&calm, Policy::All);
+    for (name, scenario) in scenarios().into_iter().filter(|(name, _)| name.starts_with("halts")) {
+        let calm = Scenario { stalls: Vec::new(), ..scenario };
+        let Outcome { requests, in_time, late, .. } = simulate(&calm, Policy::AdmitAll);
         // Streams that run at the end are not counted as either.
-        assert!(in_time * 20 > asked * 18, "{name}: {in_time} of {asked}, {late} late");
+        assert!(in_time * 20 > requests * 18, "{name}: {in_time} of {requests}, {late} late");
     }
 }
 
 #[test]
 fn every_request_ends_once_at_most() {
-    for (name, scene) in scenes() {
-        let outcome = play(&scene, Policy::All);
+    for (name, scenario) in scenarios() {
+        let outcome = simulate(&scenario, Policy::AdmitAll);
         let ended = outcome.in_time + outcome.late + outcome.refused + outcome.left;
-        assert!(ended <= outcome.asked, "{name}: {outcome:?}");
-        assert!(ended * 10 > outcome.asked * 8, "{name}: {outcome:?}");
+        assert!(ended <= outcome.requests, "{name}: {outcome:?}");
+        assert!(ended * 10 > outcome.requests * 8, "{name}: {outcome:?}");
     }
 }
 
@@ -47,8 +47,9 @@
 #[test]
 fn a_backlog_outlives_its_halt_unless_those_that_come_back_yield() {
     for name in ["halts, 1 of 12 ranks", "halts, 1 of 63 ranks"] {
-        let scene = scene(name);
-        let [all, yields] = [Policy::All, Policy::Yields(0.5)].map(|policy| play(&scene, policy));
+        let scenario = scenario(name);
+        let [all, yields] =
+            [Policy::AdmitAll, Policy::RetriesYield(0.5)].map(|policy| simulate(&scenario, policy));
         assert!(all.last_long_ms > 30_000, "{name}: {all:?}");
         assert!(yields.last_long_ms < 8_500, "{name}: {yields:?}");
         assert!(yields.in_time * 4 > all.in_time * 5, "{name}: {all:?} {yields:?}");
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -21,31 +21,31 @@
 use serde::Serialize;
 
 /// Ends what a log line tells of itself: time, and whatever a collector put before it.
-const LEVEL: &str = "[info]";
+const LEVEL_MARKER: &str = "[info]";
 
 /// A step, and where its line says it comes from.
 #[derive(Debug, PartialEq, Serialize)]
-struct Found {
+struct LoggedStep {
     origin: String,
     step: RequestStep,
 }
 
 /// Prints the steps of request `id` in the files, or in standard input where there is none.
 pub fn print(id: &str, files: &[PathBuf], json: bool) -> Result<ExitCode> {
-    let mut found = Vec::new();
-    let mut unread = 0;
+    let mut steps = Vec::new();
+    let mut unparsed = 0;
     if files.is_empty() {
-        unread += collect(io::stdin().lock(), id, &mut found)?;
+        unparsed += collect(io::stdin().lock(), id, &mut steps)?;
     }
     for path in files {
         let file = File::open(path).wrap_err_with(|| format!("{}", path.display()))?;
-        unread += collect(BufReader::new(file), id, &mut found)
+        unparsed += collect(BufReader::new(file), id, &mut steps)
             .wrap_err_with(|| format!("{}", path.display()))?;
     }
-    if unread > 0 {
-        eprintln!("hooktrestle: {unread} lines of request {id} are not understood: passed over");
+    if unparsed > 0 {
+        eprintln!("hooktrestle: {unparsed} lines of request {id} are not understood: passed over");
     }
-    if found.is_empty() {
+    if steps.is_empty() {
         eprintln!(
             "hooktrestle: no line tells of request {id}: its first server answered it, its lines were \
              dropped (look for `lines about requests were dropped`), or it came to another gateway"
@@ -53,38 +53,38 @@
         return Ok(ExitCode::FAILURE);
     }
     if json {
-        println!("{}", serde_json::to_string_pretty(&found)?);
+        println!("{}", serde_json::to_string_pretty(&steps)?);
         return Ok(ExitCode::SUCCESS);
     }
-    for Found { origin, step } in &found {
-        println!("{origin}  {}", told(step));
+    for LoggedStep { origin, step } in &steps {
+        println!("{origin}  {}", describe(step));
     }
-    if let Some(last) = found.last() {
-        println!("{}", ended(&last.step));
+    if let Some(last) = steps.last() {
+        println!("{}", conclusion(&last.step));
     }
     Ok(ExitCode::SUCCESS)
 }
 
 /// Adds the steps of a request; returns how many of its lines were not understood.
-fn collect(lines: impl BufRead, id: &str, found: &mut Vec<Found>) -> io::Result<usize> {
-    let mut unread = 0;
-    let mark = format!("request={id} ");
+fn collect(lines: impl BufRead, id: &str, steps: &mut Vec<LoggedStep>) -> io::Result<usize> {
+    let mut unparsed = 0;
+    let marker = format!("request={id} ");
     for line in lines.lines() {
         let line = line?;
-        let Some((before, step)) = line.split_once(&mark) else { continue };
+        let Some((before, step)) = line.split_once(&marker) else { continue };
         match serde_json::from_str(step.trim_end()) {
             Ok(step) => {
-                let origin = before.split(LEVEL).next().unwrap_or(before).trim().to_owned();
-                found.push(Found { origin, step });
+                let origin = before.split(LEVEL_MARKER).next().unwrap_or(before).trim().to_owned();
+                steps.push(LoggedStep { origin, step });
             }
-            Err(_) => unread += 1,
+            Err(_) => unparsed += 1,
         }
     }
-    Ok(unread)
+    Ok(unparsed)
 }
 
 /// A step in plain words.
-fn told(step: &RequestStep) -> String {
+fn describe(step: &RequestStep) -> String {
     match step {
         RequestStep::Attempt(step) => {
             format!("server {}: {}; {}", step.server_number, fate(step.fate), next(step.next))
@@ -147,7 +147,7 @@
 }
 
 /// How it ended, and what to look at, from its last step.
-fn ended(last: &RequestStep) -> String {
+fn conclusion(last: &RequestStep) -> String {
     match last {
         RequestStep::Refused(step) => {
             let ran = match step.verdict {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -47,16 +47,16 @@
     match flags.subcommand {
         HooktrestleCmd::Get(get) => rows::get(&platform()?, &get.row).await,
         HooktrestleCmd::Set(set) => {
-            let how = rows::How { dry_run: set.dry_run, wait: set.wait };
-            rows::set(&platform()?, &set.row, &set.fields, how).await
+            let options = rows::EditOptions { dry_run: set.dry_run, wait: set.wait };
+            rows::set(&platform()?, &set.row, &set.fields, options).await
         }
         HooktrestleCmd::Drain(drain) => {
-            let how = rows::How { dry_run: false, wait: drain.wait };
-            rows::set(&platform()?, &drain.row, &["drain=true".to_owned()], how).await
+            let options = rows::EditOptions { dry_run: false, wait: drain.wait };
+            rows::set(&platform()?, &drain.row, &["drain=true".to_owned()], options).await
         }
         HooktrestleCmd::Undrain(undrain) => {
-            let how = rows::How { dry_run: false, wait: undrain.wait };
-            rows::set(&platform()?, &undrain.row, &["drain=false".to_owned()], how).await
+            let options = rows::EditOptions { dry_run: false, wait: undrain.wait };
+            rows::set(&platform()?, &undrain.row, &["drain=false".to_owned()], options).await
         }
         HooktrestleCmd::Status(flags) => status::print(&platform()?, flags.json).await,
         HooktrestleCmd::Explain(explain) => {
--- a/crates/cli/src/rows.rs
+++ b/crates/cli/src/rows.rs
@@ -25,7 +25,7 @@
 
 /// How a row is to be changed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct How {
+pub(crate) struct EditOptions {
     /// Only shows the difference.
     pub(crate) dry_run: bool,
     /// Waits until it is in force.
@@ -47,7 +47,7 @@
     platform: &Platform,
     key: &str,
     fields: &[String],
-    how: How,
+    options: EditOptions,
 ) -> Result<ExitCode> {
     let name = parse_name(key)?;
     let old = platform.row(ROWS, &name.to_string()).await?;
@@ -63,12 +63,12 @@
         object.insert(field, value);
     }
     check(&name, &object)?;
-    if how.dry_run {
+    if options.dry_run {
         println!("nothing written");
         return Ok(ExitCode::SUCCESS);
     }
     let revision = write(platform, vec![(name.clone(), version, Value::Object(object))]).await?;
-    if how.wait { status::wait(platform, &name, revision).await } else { Ok(ExitCode::SUCCESS) }
+    if options.wait { status::wait(platform, &name, revision).await } else { Ok(ExitCode::SUCCESS) }
 }
 
 /// Prints all rows as CSV, a column for each field of any kind.
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -22,20 +22,20 @@
 use serde::Serialize;
 
 /// Exit status when something is not in force everywhere.
-const NOT_EVERYWHERE: u8 = 3;
+const EXIT_NOT_IN_FORCE: u8 = 3;
 
 /// Longest wait for one gateway's answer.
 const GATEWAY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest wait for a change to be in force everywhere.
-const WAIT_AT_MOST: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time between two looks while waiting.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One data centre, as its gateways say. Sidecars are not asked: they have no address for this.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-struct Centre {
+struct DataCentreSummary {
     gateways: usize,
     unreachable: Vec<String>,
     leaving: Vec<String>,
@@ -49,7 +49,7 @@
 struct Status {
     accepted_version: u64,
     rows_revision: u64,
-    data_centres: BTreeMap<String, Centre>,
+    data_centres: BTreeMap<String, DataCentreSummary>,
     rows_left_out: BTreeMap<String, String>,
     backend_servers_leaving: Vec<String>,
 }
@@ -57,58 +57,58 @@
 impl Status {
     /// Whether every data centre whose gateways answer has the accepted version.
     fn is_everywhere(&self) -> bool {
-        self.data_centres.values().all(|centre| {
-            centre.unreachable.is_empty() && centre.oldest_version >= Some(self.accepted_version)
+        self.data_centres.values().all(|summary| {
+            summary.unreachable.is_empty() && summary.oldest_version >= Some(self.accepted_version)
         })
     }
 }
 
 /// Prints the status.
 pub(crate) async fn print(platform: &Platform, json: bool) -> Result<ExitCode> {
-    let status = look(platform).await?;
+    let status = read_status(platform).await?;
     if json {
         println!("{}", serde_json::to_string_pretty(&status)?);
     } else {
         table(&status);
     }
-    Ok(if status.is_everywhere() { ExitCode::SUCCESS } else { ExitCode::from(NOT_EVERYWHERE) })
+    Ok(if status.is_everywhere() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_NOT_IN_FORCE) })
 }
 
 /// Waits until a row that was written at `revision` is in force everywhere, with a line for each
 /// data centre.
 pub(crate) async fn wait(platform: &Platform, row: &RowName, revision: u64) -> Result<ExitCode> {
     let start = Instant::now();
-    let mut told: Vec<String> = Vec::new();
+    let mut reported: Vec<String> = Vec::new();
     loop {
-        let status = look(platform).await?;
+        let status = read_status(platform).await?;
         if let Some(message) = status.rows_left_out.get(&row.to_string()) {
             eprintln!("hooktrestle: {row} is not accepted: {message}");
             return Ok(ExitCode::FAILURE);
         }
         let accepted = status.rows_revision >= revision;
-        for (name, centre) in &status.data_centres {
-            let reached = centre.oldest_version >= Some(status.accepted_version);
-            if accepted && reached && !told.contains(name) {
+        for (name, summary) in &status.data_centres {
+            let reached = summary.oldest_version >= Some(status.accepted_version);
+            if accepted && reached && !reported.contains(name) {
                 let took_s = start.elapsed().as_secs_f64();
                 println!(
                     "{name}: version {} in force after {took_s:.1} s",
                     status.accepted_version
                 );
-                told.push(name.clone());
+                reported.push(name.clone());
             }
         }
         if accepted && status.is_everywhere() {
             return Ok(ExitCode::SUCCESS);
         }
-        if start.elapsed() > WAIT_AT_MOST {
+        if start.elapsed() > WAIT_TIMEOUT {
             eprintln!("hooktrestle: not in force everywhere; see `hooktrestle status`");
-            return Ok(ExitCode::from(NOT_EVERYWHERE));
+            return Ok(ExitCode::from(EXIT_NOT_IN_FORCE));
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn look(platform: &Platform) -> Result<Status> {
+async fn read_status(platform: &Platform) -> Result<Status> {
     let head = platform.row(CONFIG, HEAD).await?;
     let head: Option<ConfigHead> = head.map(|row| serde_json::from_value(row.value)).transpose()?;
     let mut rows_left_out = BTreeMap::new();
@@ -130,14 +130,14 @@
         accepted_version: head.as_ref().map_or(0, |head| head.version),
         rows_revision: head.as_ref().map_or(0, |head| head.rows_revision),
         backend_servers_leaving: leaving.collect(),
-        data_centres: ask(&instances).await?,
+        data_centres: query_gateways(&instances).await?,
         rows_left_out,
     })
 }
 
-async fn ask(instances: &[Instance]) -> Result<BTreeMap<String, Centre>> {
+async fn query_gateways(instances: &[Instance]) -> Result<BTreeMap<String, DataCentreSummary>> {
     let http = reqwest::Client::builder().no_proxy().timeout(GATEWAY_TIMEOUT).build()?;
-    let mut centres: BTreeMap<String, Centre> = BTreeMap::new();
+    let mut summaries: BTreeMap<String, DataCentreSummary> = BTreeMap::new();
     let mut answers = tokio::task::JoinSet::new();
     for instance in instances.iter().filter(|each| each.role == InstanceRole::Gateway) {
         let url = format!("http://{}/v1/status", instance.address);
@@ -146,21 +146,21 @@
     }
     while let Some(answered) = answers.join_next().await {
         let (instance, answer) = answered?;
-        let centre = centres.entry(instance.data_centre).or_default();
-        centre.gateways += 1;
+        let summary = summaries.entry(instance.data_centre).or_default();
+        summary.gateways += 1;
         match answer {
-            Ok(answer) => centre.add(answer),
-            Err(_) => centre.unreachable.push(instance.name),
+            Ok(answer) => summary.add(answer),
+            Err(_) => summary.unreachable.push(instance.name),
         }
     }
-    Ok(centres)
+    Ok(summaries)
 }
 
 async fn status(http: &reqwest::Client, url: &str) -> reqwest::Result<StatusAnswer> {
     http.get(url).send().await?.error_for_status()?.json().await
 }
 
-impl Centre {
+impl DataCentreSummary {
     fn add(&mut self, answer: StatusAnswer) {
         let version = answer.config_version;
         self.oldest_version = Some(self.oldest_version.map_or(version, |old| old.min(version)));
@@ -176,18 +176,18 @@
     println!("accepted version {}", status.accepted_version);
     let mut table = Table::new();
     table.set_header(["data centre", "gateways", "version", "open", "leaving", "unreachable"]);
-    for (name, centre) in &status.data_centres {
+    for (name, summary) in &status.data_centres {
         let shown =
             |version: Option<u64>| version.map_or("-".to_owned(), |known| known.to_string());
-        let (oldest, newest) = (shown(centre.oldest_version), shown(centre.newest_version));
+        let (oldest, newest) = (shown(summary.oldest_version), shown(summary.newest_version));
         let versions = if oldest == newest { oldest } else { format!("{oldest} to {newest}") };
         table.add_row([
             name.clone(),
-            centre.gateways.to_string(),
+            summary.gateways.to_string(),
             versions,
-            centre.open_requests.to_string(),
-            centre.leaving.join(" "),
-            centre.unreachable.join(" "),
+            summary.open_requests.to_string(),
+            summary.leaving.join(" "),
+            summary.unreachable.join(" "),
         ]);
     }
     println!("{table}");
--- a/crates/embedded/src/caller.rs
+++ b/crates/embedded/src/caller.rs
@@ -33,7 +33,7 @@
         retry_after_ms: Option<u64>,
     },
     /// The answer broke off.
-    CutOff(String),
+    Truncated(String),
 }
 
 impl Outcome {
@@ -41,7 +41,7 @@
     pub fn verdict(&self) -> Option<&str> {
         match self {
             Outcome::Refused { verdict, .. } => Some(verdict),
-            Outcome::Whole(_) | Outcome::CutOff(_) => None,
+            Outcome::Whole(_) | Outcome::Truncated(_) => None,
         }
     }
 }
@@ -127,7 +127,7 @@
         match response.chunk().await {
             Ok(Some(piece)) => text.push_str(&String::from_utf8_lossy(&piece)),
             Ok(None) => return Ok(Outcome::Whole(text)),
-            Err(_) => return Ok(Outcome::CutOff(text)),
+            Err(_) => return Ok(Outcome::Truncated(text)),
         }
     }
 }
--- a/crates/embedded/src/fleet.rs
+++ b/crates/embedded/src/fleet.rs
@@ -43,7 +43,7 @@
 
 /// How often processes look and speak.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Intervals {
     /// Mean time between two looks at the platform.
     pub poll_ms: u64,
     /// Time between two heartbeats.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Fleet {
     /// How often the processes started from now on look and speak; fast unless changed.
-    pub pace: Pace,
+    pub intervals: Intervals,
     /// Where processes started from now on send their spans.
     pub otlp_url: Option<String>,
     /// The platform's stand-in.
@@ -95,7 +95,7 @@
             timeout: Duration::from_secs(5),
         })?;
         Ok(Fleet {
-            pace: Pace { poll_ms: 100, heartbeat_ms: 50 },
+            intervals: Intervals { poll_ms: 100, heartbeat_ms: 50 },
             otlp_url: None,
             fake,
             platform,
@@ -281,7 +281,7 @@
     fn settings(&self, name: &str, role: &str, data_centre: &str, more: &str) -> Result<Settings> {
         let url = self.fake.url();
         let instances_url = self.fake.instances_url();
-        let Pace { poll_ms, heartbeat_ms } = self.pace;
+        let Intervals { poll_ms, heartbeat_ms } = self.intervals;
         let traces = self.otlp_url.as_ref().map_or(String::new(), |url| {
             format!("[traces]\notlp_url = {url}\nsample_percent = 100\n")
         });
--- a/crates/embedded/src/lib.rs
+++ b/crates/embedded/src/lib.rs
@@ -16,6 +16,6 @@
 pub use caller::Outcome;
 pub use fleet::Backend;
 pub use fleet::Fleet;
+pub use fleet::Intervals;
 pub use fleet::LINK_KEY;
-pub use fleet::Pace;
 pub use fleet::key_sha256_hex;
--- a/crates/embedded/tests/failures.rs
+++ b/crates/embedded/tests/failures.rs
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn a_backend_server_that_asks_for_rest_gets_nothing_meanwhile() {
     let fleet = deployment(2).await;
-    let resting = Behaviour { refuse: true, asks_rest_s: Some(500), ..Behaviour::default() };
+    let resting = Behaviour { refuse: true, retry_after_s: Some(500), ..Behaviour::default() };
     let chat =
         |number: u32| caller(&fleet, "entry-1").chat("hints", &format!("n-{number}"), 2, true);
     fleet.engine("hints-1").set_behaviour(resting);
@@ -85,7 +85,7 @@
 async fn a_backend_server_that_names_a_limit_gets_no_more() {
     let fleet = deployment(1).await;
     // One in ten seconds is sent to a server that takes none.
-    let limited = Behaviour { limit_per_s: Some(0.0), ..Behaviour::default() };
+    let limited = Behaviour { advertised_limit_per_s: Some(0.0), ..Behaviour::default() };
     fleet.engine("hints-1").set_behaviour(limited);
     let chat = |gateway: &str, number: u32| {
         let asked = caller(&fleet, gateway).chat("hints", &format!("n-{number}"), 2, true);
@@ -120,10 +120,10 @@
 #[tokio::test]
 async fn an_answer_that_breaks_off_never_looks_whole() {
     let fleet = deployment(1).await;
-    let broken = Behaviour { break_after: Some(5), ..Behaviour::default() };
+    let broken = Behaviour { truncate_after_tokens: Some(5), ..Behaviour::default() };
     fleet.engine("hints-1").set_behaviour(broken);
     let outcome = finish(caller(&fleet, "entry-1").chat("hints", "m", 20, true)).await.unwrap();
-    let Outcome::CutOff(text) = outcome else { panic!("{outcome:?}") };
+    let Outcome::Truncated(text) = outcome else { panic!("{outcome:?}") };
     assert!(text.contains("event: error"), "{text}");
     assert!(text.contains("\"verdict\":\"ran\""), "{text}");
     assert!(!text.contains("[DONE]"), "{text}");
@@ -343,7 +343,7 @@
                 assert!(retry_after_ms.is_some_and(|ms| ms > 0));
                 refused += 1;
             }
-            Outcome::CutOff(text) => panic!("{text}"),
+            Outcome::Truncated(text) => panic!("{text}"),
         }
     }
     assert!(refused > 0);
--- a/crates/fakes/src/app.rs
+++ b/crates/fakes/src/app.rs
@@ -16,7 +16,7 @@
 use warp::http::StatusCode;
 
 use crate::ledger::Ledger;
-use crate::serve::Served;
+use crate::serve::ServerHandle;
 use crate::serve::serve;
 
 /// An application service that stops when it is dropped.
@@ -24,7 +24,7 @@
 pub struct FakeApp {
     /// What really ran.
     pub ledger: Ledger,
-    served: Served,
+    server: ServerHandle,
 }
 
 impl FakeApp {
@@ -44,13 +44,13 @@
             })
             .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST) })
             .map(Reply::into_response);
-        let served = serve(listen, routes).await?;
-        Ok(FakeApp { ledger, served })
+        let server = serve(listen, routes).await?;
+        Ok(FakeApp { ledger, server })
     }
 
     /// Its base URL.
     pub fn url(&self) -> String {
-        format!("http://{}", self.served.address)
+        format!("http://{}", self.server.address)
     }
 }
 
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -10,14 +10,14 @@
 use warp::Reply;
 use warp::http::StatusCode;
 
-use crate::serve::Served;
+use crate::serve::ServerHandle;
 use crate::serve::serve;
 
 /// A collector that stops when it is dropped.
 #[derive(Debug)]
 pub struct FakeCollector {
     exports: watch::Sender<Vec<Bytes>>,
-    served: Served,
+    server: ServerHandle,
 }
 
 impl FakeCollector {
@@ -38,13 +38,13 @@
             })
             .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST) })
             .map(Reply::into_response);
-        let served = serve(listen, routes).await?;
-        Ok(FakeCollector { exports, served })
+        let server = serve(listen, routes).await?;
+        Ok(FakeCollector { exports, server })
     }
 
     /// Where exporters send.
     pub fn url(&self) -> String {
-        format!("http://{}/v1/traces", self.served.address)
+        format!("http://{}/v1/traces", self.server.address)
     }
 
     /// Waits until some export holds all of these byte strings.
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -24,7 +24,7 @@
 
 use crate::group::FakeGroup;
 use crate::ledger::Ledger;
-use crate::serve::Served;
+use crate::serve::ServerHandle;
 use crate::serve::serve;
 
 /// Header by which a backend server says that it refused a request before running any of it.
@@ -47,13 +47,13 @@
     /// Refuses new requests before running any of them.
     pub refuse: bool,
     /// Asks for a rest of so many seconds as it refuses.
-    pub asks_rest_s: Option<u64>,
+    pub retry_after_s: Option<u64>,
     /// Names so many requests a second as what it takes.
-    pub limit_per_s: Option<f64>,
+    pub advertised_limit_per_s: Option<f64>,
     /// Makes no progress.
     pub stalled: bool,
     /// Breaks each answer off after this many tokens.
-    pub break_after: Option<u64>,
+    pub truncate_after_tokens: Option<u64>,
 }
 
 impl Default for Behaviour {
@@ -61,10 +61,10 @@
         Behaviour {
             step: Duration::from_millis(1),
             refuse: false,
-            asks_rest_s: None,
-            limit_per_s: None,
+            retry_after_s: None,
+            advertised_limit_per_s: None,
             stalled: false,
-            break_after: None,
+            truncate_after_tokens: None,
         }
     }
 }
@@ -75,7 +75,7 @@
     /// What really ran.
     pub ledger: Ledger,
     behaviour: Arc<watch::Sender<Behaviour>>,
-    served: Served,
+    server: ServerHandle,
 }
 
 #[derive(Debug)]
@@ -120,13 +120,13 @@
         let behaviour = Arc::new(watch::Sender::new(behaviour));
         let chat = routes(ledger.clone(), Arc::clone(&behaviour));
         let routes = control(member).or(chat).unify();
-        let served = serve(listen, routes).await?;
-        Ok(FakeEngine { ledger, behaviour, served })
+        let server = serve(listen, routes).await?;
+        Ok(FakeEngine { ledger, behaviour, server })
     }
 
     /// Its base URL.
     pub fn url(&self) -> String {
-        format!("http://{}", self.served.address)
+        format!("http://{}", self.server.address)
     }
 
     /// Works differently from now on.
@@ -190,11 +190,11 @@
     ledger: Ledger,
     behaviour: watch::Receiver<Behaviour>,
 ) -> warp::reply::Response {
-    let Behaviour { refuse, asks_rest_s, limit_per_s, .. } = *behaviour.borrow();
+    let Behaviour { refuse, retry_after_s, advertised_limit_per_s, .. } = *behaviour.borrow();
     if refuse {
         let mut refusal = Response::builder().status(503).header(NOT_RUN_HEADER, "true");
-        if let Some(rest_s) = asks_rest_s {
-            refusal = refusal.header(RETRY_AFTER, rest_s);
+        if let Some(after_s) = retry_after_s {
+            refusal = refusal.header(RETRY_AFTER, after_s);
         }
         return refusal.body(String::new()).expect("a valid response").into_response();
     }
@@ -209,7 +209,7 @@
     let stream = body["stream"].as_bool().unwrap_or(false);
     let answer = Answer { marker, tokens, next: 0, ledger, behaviour };
     let mut reply = if stream { answer.into_stream() } else { answer.into_whole().await };
-    if let Some(limit) = limit_per_s {
+    if let Some(limit) = advertised_limit_per_s {
         reply
             .headers_mut()
             .insert(LIMIT_HEADER, HeaderValue::from_str(&limit.to_string()).expect("a number"));
@@ -270,7 +270,7 @@
         tokio::time::sleep(step).await;
         // Waits out a stall; a dropped sender means that the engine has stopped.
         let _ = self.behaviour.wait_for(|behaviour| !behaviour.stalled).await;
-        if self.behaviour.borrow().break_after.is_some_and(|limit| self.next >= limit) {
+        if self.behaviour.borrow().truncate_after_tokens.is_some_and(|limit| self.next >= limit) {
             return Err(std::io::Error::other("told to break off"));
         }
         let token = format!("{}#{} ", self.marker, self.next);
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -25,7 +25,7 @@
 use warp::http::StatusCode;
 use warp::reply::Response;
 
-use crate::serve::Served;
+use crate::serve::ServerHandle;
 use crate::serve::serve;
 
 /// Largest body that is read.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct FakePlatform {
     state: Arc<Mutex<State>>,
-    served: Arc<Served>,
+    server: Arc<ServerHandle>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -80,13 +80,13 @@
     /// The address cannot be bound.
     pub async fn start(listen: SocketAddr) -> Result<FakePlatform> {
         let state = Arc::new(Mutex::new(State::default()));
-        let served = serve(listen, routes(Arc::clone(&state))).await?;
-        Ok(FakePlatform { state, served: Arc::new(served) })
+        let server = serve(listen, routes(Arc::clone(&state))).await?;
+        Ok(FakePlatform { state, server: Arc::new(server) })
     }
 
     /// Base URL of the table service and the object store.
     pub fn url(&self) -> String {
-        format!("http://{}", self.served.address)
+        format!("http://{}", self.server.address)
     }
 
     /// URL of the instance list.
--- a/crates/fakes/src/serve.rs
+++ b/crates/fakes/src/serve.rs
@@ -11,23 +11,23 @@
 
 /// A server that stops, cutting everything off, when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Served {
+pub(crate) struct ServerHandle {
     pub(crate) address: SocketAddr,
     task: AbortHandle,
 }
 
-impl Drop for Served {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-pub(crate) async fn serve<F>(listen: SocketAddr, routes: F) -> Result<Served>
+pub(crate) async fn serve<F>(listen: SocketAddr, routes: F) -> Result<ServerHandle>
 where
     F: Filter<Extract = (Response,), Error = Infallible> + Clone + Send + Sync + 'static,
 {
     let listener = TcpListener::bind(listen).await?;
     let address = listener.local_addr()?;
     let task = tokio::spawn(warp::serve(routes).incoming(listener).run()).abort_handle();
-    Ok(Served { address, task })
+    Ok(ServerHandle { address, task })
 }
--- a/crates/hooktrestle/examples/quickstart.rs
+++ b/crates/hooktrestle/examples/quickstart.rs
@@ -33,7 +33,7 @@
 struct Tally {
     answered: usize,
     failed: usize,
-    cut_off: usize,
+    truncated: usize,
 }
 
 impl Tally {
@@ -41,7 +41,7 @@
         match outcome {
             Outcome::Whole(_) => self.answered += 1,
             Outcome::Refused { .. } => self.failed += 1,
-            Outcome::CutOff(_) => self.cut_off += 1,
+            Outcome::Truncated(_) => self.truncated += 1,
         }
     }
 }
@@ -55,9 +55,9 @@
     call_plain(&fleet, &mut tally).await?;
     let moved = move_experts(&group).await?;
     drain_under_load(&fleet, &mut tally).await?;
-    let Tally { answered, failed, cut_off } = tally;
-    println!("quickstart: {answered} answered, {failed} failed, {cut_off} cut off");
-    let good = failed == 0 && cut_off == 0 && moved;
+    let Tally { answered, failed, truncated } = tally;
+    println!("quickstart: {answered} answered, {failed} failed, {truncated} cut off");
+    let good = failed == 0 && truncated == 0 && moved;
     Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -122,7 +122,7 @@
         whole |= text.contains("[DONE]");
         print!("{text}");
     }
-    let end = if whole { Outcome::Whole(String::new()) } else { Outcome::CutOff(String::new()) };
+    let end = if whole { Outcome::Whole(String::new()) } else { Outcome::Truncated(String::new()) };
     tally.count(&end);
     Ok(())
 }
--- a/crates/schema/src/range.rs
+++ b/crates/schema/src/range.rs
@@ -13,7 +13,7 @@
     [include_str!("../schema/rows.json"), include_str!("../schema/settings.json")];
 
 /// How far a misspelt name may be from a known one to be suggested, as a similarity of 0 to 1.
-const SUGGEST_FROM: f64 = 0.6;
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.6;
 
 /// One field of a definition, as the schema states it.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
     /// Whether it may not be left out.
     pub required: bool,
     /// Allowed words, of an enum.
-    pub words: Vec<String>,
+    pub allowed_values: Vec<String>,
 }
 
 /// What is wrong with a value, and where.
@@ -117,7 +117,7 @@
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     known
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(similarity, _)| *similarity >= SUGGEST_FROM)
+        .filter(|(similarity, _)| *similarity >= MIN_SUGGESTION_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, candidate)| candidate)
 }
@@ -127,7 +127,7 @@
         "integer" => value.as_u64().is_some_and(|number| in_range(field, number as f64)),
         "number" => value.as_f64().is_some_and(|number| in_range(field, number)),
         "boolean" => value.is_boolean(),
-        _ => value.as_str().is_some_and(|text| is_word(field, text)),
+        _ => value.as_str().is_some_and(|text| is_allowed(field, text)),
     };
     if fits {
         return None;
@@ -140,13 +140,13 @@
         && field.maximum.is_none_or(|maximum| number <= maximum)
 }
 
-fn is_word(field: &Field, text: &str) -> bool {
-    field.words.is_empty() || field.words.iter().any(|word| word == text)
+fn is_allowed(field: &Field, text: &str) -> bool {
+    field.allowed_values.is_empty() || field.allowed_values.iter().any(|word| word == text)
 }
 
 fn expected(field: &Field) -> String {
-    if !field.words.is_empty() {
-        return format!("must be one of {}", field.words.join(", "));
+    if !field.allowed_values.is_empty() {
+        return format!("must be one of {}", field.allowed_values.join(", "));
     }
     match (field.minimum, field.maximum) {
         (Some(minimum), Some(maximum)) => {
@@ -182,7 +182,7 @@
         Some(reference) => lookup(reference.rsplit('/').next().unwrap_or_default()),
         None => schema,
     };
-    let words = target["enum"].as_array().cloned().unwrap_or_default();
+    let allowed_values = target["enum"].as_array().cloned().unwrap_or_default();
     Field {
         name: name.to_owned(),
         description: target["description"].as_str().unwrap_or_default().to_owned(),
@@ -192,7 +192,11 @@
         maximum: schema["maximum"].as_f64(),
         default: schema.get("default").cloned(),
         required: required.iter().any(|entry| entry == name),
-        words: words.iter().filter_map(Value::as_str).map(str::to_owned).collect(),
+        allowed_values: allowed_values
+            .iter()
+            .filter_map(Value::as_str)
+            .map(str::to_owned)
+            .collect(),
     }
 }
 
--- a/xtask/src/style.rs
+++ b/xtask/src/style.rs
@@ -11,7 +11,7 @@
 use eyre::Result;
 
 /// Longest source file.
-const MOST_LINES: usize = 600;
+const MAX_LINES: usize = 600;
 
 /// Where the names of the users' platform may stand.
 const PLATFORM_FOLDERS: [&str; 2] = ["platform/", "deploy/"];
@@ -44,7 +44,7 @@
 ];
 
 /// Words that the brief replaces, and by what.
-const OTHER_WORDS: [(&str, &str); 4] = [
+const REPLACED_TERMS: [(&str, &str); 4] = [
     ("zone", "data centre"),
     ("customer", "client account"),
     ("tenant", "client account"),
@@ -201,7 +201,7 @@
     for (index, line) in text.lines().enumerate() {
         let lower = line.to_lowercase();
         let parts = lower.split(|letter: char| !letter.is_ascii_alphabetic());
-        for (word, instead) in OTHER_WORDS {
+        for (word, instead) in REPLACED_TERMS {
             if parts.clone().any(|part| part == word || part == format!("{word}s")) {
                 findings.push(finding(file, index, &format!("`{word}`: the word is {instead}")));
             }
@@ -213,10 +213,10 @@
 /// Files stay small enough to read.
 pub fn length(file: &str, text: &str) -> Vec<Finding> {
     let lines = text.lines().count();
-    if lines <= MOST_LINES {
+    if lines <= MAX_LINES {
         return Vec::new();
     }
-    vec![finding(file, 0, &format!("{lines} lines: split it ({MOST_LINES} at most)"))]
+    vec![finding(file, 0, &format!("{lines} lines: split it ({MAX_LINES} at most)"))]
 }
 
 /// No dynamic dispatch where every request goes through.
