--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,7 +1,8 @@
-//! The way of one request, told from the log lines of gateways.
+//! The `explain` command: the steps of one request, from the log lines of gateways.
 //!
-//! A gateway logs a line for each decision about a request that is not simply its first server's
-//! answer: `request=ID` and the step as JSON ([`RequestStep`]).
+//! Its input is log lines; it holds the steps found so far. A gateway logs a line for each decision
+//! on a request, except for the answer of its first server: `request=ID` and the step as JSON
+//! ([`RequestStep`]). The last step decides which advice is printed.
 
 use std::fs::File;
 use std::io;
@@ -20,17 +21,17 @@
 use hooktrestle_schema::Verdict;
 use serde::Serialize;
 
-/// Ends what a log line tells of itself: time, and whatever a collector put before it.
+/// Ends the prefix of a log line: the time, and any text that a log collector adds before it.
 const LEVEL_MARKER: &str = "[info]";
 
-/// A step, and where its line says it comes from.
+/// A step, and the prefix of its log line: time and gateway.
 #[derive(Debug, PartialEq, Serialize)]
 struct LoggedStep {
     origin: String,
     step: RequestStep,
 }
 
-/// Prints the steps of request `id` in the files, or in standard input where there is none.
+/// Prints the steps of request `id` from the files, or from standard input if there are none.
 pub fn print(id: &str, files: &[PathBuf], json: bool) -> Result<ExitCode> {
     let mut steps = Vec::new();
     let mut unparsed = 0;
@@ -43,12 +44,12 @@
             .wrap_err_with(|| format!("{}", path.display()))?;
     }
     if unparsed > 0 {
-        eprintln!("hooktrestle: {unparsed} lines of request {id} are not understood: passed over");
+        eprintln!("hooktrestle: {unparsed} lines of request {id} could not be parsed: skipped");
     }
     if steps.is_empty() {
         eprintln!(
-            "hooktrestle: no line tells of request {id}: its first server answered it, its lines were \
-             dropped (look for `lines about requests were dropped`), or it came to another gateway"
+            "hooktrestle: no log line about request {id}: its first server answered it, its lines were \
+             dropped (look for `lines about requests were dropped`), or another gateway served it"
         );
         return Ok(ExitCode::FAILURE);
     }
@@ -65,7 +66,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Adds the steps of a request; returns how many of its lines were not understood.
+/// Collects the steps of a request; returns the number of its lines that could not be parsed.
 fn collect(lines: impl BufRead, id: &str, steps: &mut Vec<LoggedStep>) -> io::Result<usize> {
     let mut unparsed = 0;
     let marker = format!("request={id} ");
@@ -83,7 +84,7 @@
     Ok(unparsed)
 }
 
-/// A step in plain words.
+/// Describes a step in words.
 fn describe(step: &RequestStep) -> String {
     match step {
         RequestStep::Attempt(step) => {
@@ -104,18 +105,18 @@
             )
         }
         RequestStep::Rest(step) => {
-            format!("server {} asked for a rest of `{}` s", step.server_number, step.asked)
+            format!("server {} asked to back off for `{}` s", step.server_number, step.asked)
         }
         RequestStep::Limit(step) => {
             format!(
-                "server {} takes `{}` requests a second from all gateways",
+                "server {} advertised a limit of `{}` requests a second for all gateways",
                 step.server_number, step.named
             )
         }
         RequestStep::Leave(step) => {
             let why = match step.reason {
-                LeaveReason::BrokenOff => "broke off or was silent",
-                LeaveReason::Slow => "was found slow",
+                LeaveReason::BrokenOff => "truncated the stream or stopped sending",
+                LeaveReason::Slow => "was detected as slow",
             };
             let after =
                 step.after_event_number.map_or("before its first event".to_owned(), |event| {
@@ -133,7 +134,7 @@
     match fate {
         AttemptFate::NotSent => "it was not reached",
         AttemptFate::NotRun => "it said that it did not run the request",
-        AttemptFate::MayHaveRun => "no whole answer came, so it may have run",
+        AttemptFate::MayHaveRun => "no complete answer was received, so it may have run",
         AttemptFate::Failed => "it answered that it failed",
     }
 }
@@ -146,14 +147,14 @@
     }
 }
 
-/// How it ended, and what to look at, from its last step.
+/// How the request ended, and what to check next, from its last step.
 fn conclusion(last: &RequestStep) -> String {
     match last {
         RequestStep::Refused(step) => {
             let ran = match step.verdict {
                 Verdict::NotRun => "It did not run, and the caller was told so.",
                 Verdict::MayHaveRun | Verdict::Ran => {
-                    "It may have run, so it was not sent again and the caller was promised nothing."
+                    "It may have run, so it was not retried and the caller got no guarantee."
                 }
             };
             format!("{ran} {}", advice(step.cause))
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -1,4 +1,6 @@
-//! Arguments of `hooktrestle`.
+//! Command-line arguments of `hooktrestle`.
+//!
+//! `xflags` generates the parser and the help texts from the definition below.
 #![allow(missing_docs)]
 
 use std::path::PathBuf;
@@ -17,40 +19,40 @@
         cmd set {
             /// Only shows the difference.
             optional --dry-run
-            /// Waits until it is in force, with a line for each data centre.
+            /// Waits until the change is in force, with a line for each data centre.
             optional --wait
             required row: String
             /// FIELD=VALUE
             repeated fields: String
         }
-        /// Takes a worker (backend_server:NAME) or a data centre (data_centre:NAME) out of use.
+        /// Drains a backend server (backend_server:NAME) or a data centre (data_centre:NAME).
         cmd drain {
-            /// Waits until it is in force, with a line for each data centre.
+            /// Waits until the drain is in force, with a line for each data centre.
             optional --wait
             required row: String
         }
-        /// Takes a drain back.
+        /// Ends a drain.
         cmd undrain {
-            /// Waits until it is in force, with a line for each data centre.
+            /// Waits until the change is in force, with a line for each data centre.
             optional --wait
             required row: String
         }
-        /// Shows the version in force in each data centre, who is leaving, and rows left out.
+        /// Shows the version in force in each data centre, leaving instances, and rows left out.
         cmd status {
             /// Prints JSON.
             optional --json
         }
-        /// Tells the way of one request from log lines of gateways: each step, and why it ended so.
+        /// Explains one request from log lines of gateways: each step, and the reason for its end.
         cmd explain {
             /// Prints JSON.
             optional --json
             required id: String
-            /// Log files; standard input where none is named.
+            /// Log files; standard input if there are none.
             repeated files: PathBuf
         }
         /// Prints all rows as CSV.
         cmd export {}
-        /// Writes the rows of a CSV file, all or none.
+        /// Writes the rows of a CSV file in one transaction.
         cmd import {
             required file: PathBuf
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,11 @@
 //! `hooktrestle`: the operators' command-line tool.
 //!
-//! It edits rows of the one table and reads what became of them; all else follows from the rows.
+//! Its input is the command line; it holds no state. It reads and writes rows of the platform's
+//! table, from which all configuration follows, shows which configuration is in force, and explains
+//! requests from log lines.
 //!
-//! Exit status: 0 done; 1 refused or failed, with the reason on standard error; 2 the command line
-//! is wrong; 3 (`--wait`, `status`) not in force everywhere.
+//! Exit status: 0 done; 1 refused or failed, with the reason on standard error; 2 invalid command
+//! line; 3 (`--wait`, `status`) not in force in every data centre.
 
 mod explain;
 mod flags;
@@ -18,7 +20,7 @@
 
 use crate::flags::HooktrestleCmd;
 
-/// Longest wait for one answer of the platform.
+/// Longest wait for one response of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::main]
@@ -35,7 +37,7 @@
 
 async fn run(flags: flags::Hooktrestle) -> Result<ExitCode> {
     let url = flags.platform.unwrap_or_else(|| "http://127.0.0.1:7400".to_owned());
-    // Not every command needs it.
+    // Built on demand: `explain` reads log files only.
     let platform = || {
         Platform::new(hooktrestle_platform::Config {
             table_url: url.clone(),
--- a/crates/cli/src/rows.rs
+++ b/crates/cli/src/rows.rs
@@ -1,4 +1,7 @@
-//! Reading and writing rows.
+//! The commands that read and write rows of the platform's table.
+//!
+//! Their input is row names, fields and CSV files; they hold no state. They check each row against
+//! the schema and write only if the rows are at the versions that were read.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -20,15 +23,15 @@
 
 use crate::status;
 
-/// Column of a CSV file that holds the rows' keys.
+/// CSV column of the row names.
 const KEY_COLUMN: &str = "row";
 
-/// How a row is to be changed.
+/// Options of a change to a row.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EditOptions {
     /// Only shows the difference.
     pub(crate) dry_run: bool,
-    /// Waits until it is in force.
+    /// Waits until the change is in force.
     pub(crate) wait: bool,
 }
 
@@ -41,8 +44,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Changes fields of a row. The write is conditional on the row as it was read, so two operators
-/// who race cannot lose each other's edit.
+/// Changes fields of a row. The write is conditional on the row's version as read, so that
+/// concurrent edits of two operators do not overwrite each other.
 pub(crate) async fn set(
     platform: &Platform,
     key: &str,
@@ -71,7 +74,7 @@
     if options.wait { status::wait(platform, &name, revision).await } else { Ok(ExitCode::SUCCESS) }
 }
 
-/// Prints all rows as CSV, a column for each field of any kind.
+/// Prints all rows as CSV, with a column for each field of any row kind.
 pub(crate) async fn export(platform: &Platform) -> Result<ExitCode> {
     let mut columns: Vec<String> = vec![KEY_COLUMN.to_owned()];
     for kind in RowKind::ALL {
@@ -112,7 +115,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Writes rows, all or none; returns the table's revision, or 0 if it is not known.
+/// Writes rows in one transaction; returns the table's revision, or 0 if it is not known.
 async fn write(platform: &Platform, edits: Vec<(RowName, u64, Value)>) -> Result<u64> {
     let count = edits.len();
     let mut checks = Vec::new();
@@ -172,13 +175,13 @@
 fn parse_name(key: &str) -> Result<RowName> {
     RowName::parse(key).ok_or_else(|| {
         let kinds = RowKind::ALL.map(RowKind::name).join(", ");
-        eyre!("`{key}` is no row: write KIND:NAME, with a kind of {kinds}")
+        eyre!("`{key}` is not a row name: use KIND:NAME, with a kind of {kinds}")
     })
 }
 
 fn parse_field(kind: RowKind, text: &str) -> Result<(String, Value)> {
     let Some((name, value)) = text.split_once('=') else {
-        bail!("`{text}`: write FIELD=VALUE");
+        bail!("`{text}` is not of the form FIELD=VALUE");
     };
     let known = range::fields(kind.definition());
     let Some(field) = known.iter().find(|field| field.name == name) else {
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,7 @@
-//! What is in force, where.
+//! The `status` command and `--wait`: the configuration in force in each data centre.
+//!
+//! Its input is the platform's tables, the instance list and the status of each gateway; it holds
+//! no state. It decides whether every gateway has the accepted version.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -21,19 +24,19 @@
 use hooktrestle_schema::StatusAnswer;
 use serde::Serialize;
 
-/// Exit status when something is not in force everywhere.
+/// Exit status if a change is not in force in every data centre.
 const EXIT_NOT_IN_FORCE: u8 = 3;
 
-/// Longest wait for one gateway's answer.
+/// Longest wait for one gateway's status.
 const GATEWAY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest wait for a change to be in force everywhere.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks while waiting.
+/// Time between two polls of the status while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// One data centre, as its gateways say. Sidecars are not asked: they have no address for this.
+/// One data centre, as its gateways report it. Sidecars are left out: they have no status address.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 struct DataCentreSummary {
     gateways: usize,
@@ -44,7 +47,7 @@
     open_requests: u64,
 }
 
-/// All of it.
+/// Status of the whole deployment.
 #[derive(Clone, Debug, Serialize)]
 struct Status {
     accepted_version: u64,
@@ -55,7 +58,7 @@
 }
 
 impl Status {
-    /// Whether every data centre whose gateways answer has the accepted version.
+    /// Whether all gateways respond and have the accepted version.
     fn is_everywhere(&self) -> bool {
         self.data_centres.values().all(|summary| {
             summary.unreachable.is_empty() && summary.oldest_version >= Some(self.accepted_version)
--- a/crates/cli/tests/examples.rs
+++ b/crates/cli/tests/examples.rs
@@ -1,4 +1,7 @@
-//! The example deployments, imported by the operators' tool and accepted whole.
+//! The example deployments: imported by the operators' tool, accepted completely, and exported.
+//!
+//! Guards against examples that no longer match the schema, exports that lose a field, and imports
+//! that write part of a bad file.
 
 use std::path::Path;
 use std::process::Command;
@@ -11,9 +14,9 @@
 use hooktrestled::config_sync::read_head;
 use hooktrestled::config_sync::read_snapshot;
 
-fn tool(fleet: &Fleet, words: &[&str]) -> Output {
+fn tool(fleet: &Fleet, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hooktrestle"));
-    command.args(["--platform", &fleet.fake.url()]).args(words).output().unwrap()
+    command.args(["--platform", &fleet.fake.url()]).args(arguments).output().unwrap()
 }
 
 fn example(name: &str) -> String {
@@ -38,9 +41,9 @@
         let exported = tool(&fleet, &["export"]);
         let file = std::env::temp_dir().join(format!("{}-{name}.csv", std::process::id()));
         std::fs::write(&file, &exported.stdout).unwrap();
-        let again = tool(&fleet, &["import", &file.display().to_string()]);
+        let reimported = tool(&fleet, &["import", &file.display().to_string()]);
         std::fs::remove_file(&file).unwrap();
-        assert!(again.status.success(), "{}", String::from_utf8_lossy(&again.stderr));
+        assert!(reimported.status.success(), "{}", String::from_utf8_lossy(&reimported.stderr));
         let accepted = Acceptor::new(fleet.platform.clone()).accept().await.unwrap();
         assert_eq!(accepted, Accepted::Nothing, "an export holds just what was imported");
     }
@@ -66,14 +69,17 @@
     std::fs::write(&file, "row,kind,deadline_ms\nservice:a,model,5\nservice:b,model,0\n").unwrap();
     let refused = tool(&fleet, &["import", &file.display().to_string()]);
     std::fs::remove_file(&file).unwrap();
-    let said = String::from_utf8_lossy(&refused.stderr);
-    assert_eq!(refused.status.code(), Some(1), "{said}");
-    assert!(said.contains("bad.csv:3: service:b: deadline_ms: 0 given; it must be"), "{said}");
+    let message = String::from_utf8_lossy(&refused.stderr);
+    assert_eq!(refused.status.code(), Some(1), "{message}");
+    assert!(
+        message.contains("bad.csv:3: service:b: deadline_ms: 0 given; it must be"),
+        "{message}"
+    );
     assert!(fleet.platform.rows("rows", 0).await.unwrap().rows.is_empty());
 
     let misspelt = tool(&fleet, &["set", "service:a", "kind=model", "deadline=5"]);
-    let said = String::from_utf8_lossy(&misspelt.stderr);
-    assert!(said.contains("has no field `deadline`; did you mean `deadline_ms`?"), "{said}");
+    let message = String::from_utf8_lossy(&misspelt.stderr);
+    assert!(message.contains("has no field `deadline`; did you mean `deadline_ms`?"), "{message}");
     let unknown = tool(&fleet, &["get", "thing:a"]);
     assert!(
         String::from_utf8_lossy(&unknown.stderr).contains("with a kind of data_centre, service")
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,25 +1,30 @@
-//! `explain` on the log lines of gateways.
+//! `explain` on log lines of gateways.
+//!
+//! Guards against lost or misread steps: lines of several requests and gateways are mixed, a request
+//! ID is the prefix of another, and one line is in a form that the tool cannot parse.
 
 use std::io::Write;
 use std::process::Command;
 use std::process::Output;
 use std::process::Stdio;
 
-/// Lines of two gateways, as a collector joins them, with those of other requests between.
+/// Lines of two gateways, merged by a log collector, with lines of other requests between them.
 const LOG: &str = r#"
   7.1 entry-1 [2026-01-12 02:39:41.025] [info] [journal, a.rs:5] store lost: the store gave no answer in time
   7.2 entry-1 [2026-01-12 02:39:41.107] [info] [journal, a.rs:5] request=r1 {"connection":{"server_number":3,"fresh":true,"unsent":false,"error":"connection closed"}}
   7.2 entry-1 [2026-01-12 02:39:41.107] [info] [journal, a.rs:5] request=r1 {"attempt":{"server_number":3,"sent_number":1,"fate":"may-have-run","next":"give-up"}}
   7.3 entry-2 [2026-01-12 02:39:41.110] [info] [journal, a.rs:5] request=r11 {"attempt":{"server_number":0,"sent_number":1,"fate":"not-run","next":"again"}}
   7.3 entry-1 [2026-01-12 02:39:41.111] [info] [journal, a.rs:5] request=r1 {"refused":{"held_ms":12,"cause":"backend-failed","verdict":"may-have-run"}}
+  7.4 entry-2 [2026-01-12 02:39:41.500] [info] [journal, a.rs:5] request=r2 {"rest":{"server_number":4,"asked":"30"}}
+  7.4 entry-2 [2026-01-12 02:39:41.600] [info] [journal, a.rs:5] request=r2 {"limit":{"server_number":4,"named":"12.5"}}
   7.4 entry-2 [2026-01-12 02:39:42.000] [info] [journal, a.rs:5] request=r2 {"leave":{"server_number":4,"reason":"slow","after_event_number":7,"next":"again"}}
   7.5 entry-2 [2026-01-12 02:39:42.000] [info] [journal, a.rs:5] request=r3 server=4 in an older form
 "#;
 
-fn explain(words: &[&str]) -> Output {
+fn explain(arguments: &[&str]) -> Output {
     let mut tool = Command::new(env!("CARGO_BIN_EXE_hooktrestle"))
         .arg("explain")
-        .args(words)
+        .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -41,22 +46,28 @@
         text(&output.stdout),
         "7.2 entry-1 [2026-01-12 02:39:41.107]  server 3: its new connection failed, the request was \
          sent: connection closed\n\
-         7.2 entry-1 [2026-01-12 02:39:41.107]  server 3: no whole answer came, so it may have run; the \
-         gateway gives up\n\
+         7.2 entry-1 [2026-01-12 02:39:41.107]  server 3: no complete answer was received, so it may \
+         have run; the gateway gives up\n\
          7.3 entry-1 [2026-01-12 02:39:41.111]  refused after 12 ms: backend-failed (may-have-run)\n\
-         It may have run, so it was not sent again and the caller was promised nothing. Look whether \
-         other requests name the same servers at that time.\n"
+         It may have run, so it was not retried and the caller got no guarantee. Look whether other \
+         requests name the same servers at that time.\n"
     );
 }
 
 #[test]
 fn a_stream_that_went_on_elsewhere_is_no_failure() {
-    let said = text(&explain(&["r2"]).stdout);
+    let message = text(&explain(&["r2"]).stdout);
     assert!(
-        said.contains("server 4 was found slow, after event 7; another server is tried"),
-        "{said}"
+        message.contains(
+            "server 4 asked to back off for `30` s\n\
+             7.4 entry-2 [2026-01-12 02:39:41.600]  server 4 advertised a limit of `12.5` requests a \
+             second for all gateways\n\
+             7.4 entry-2 [2026-01-12 02:39:42.000]  server 4 was detected as slow, after event 7; \
+             another server is tried"
+        ),
+        "{message}"
     );
-    assert!(said.ends_with("the next server answered.\n"), "{said}");
+    assert!(message.ends_with("the next server answered.\n"), "{message}");
 }
 
 #[test]
@@ -71,10 +82,10 @@
 fn what_is_not_there_or_not_understood_is_said() {
     let missing = explain(&["r9"]);
     assert_eq!(missing.status.code(), Some(1));
-    assert!(text(&missing.stderr).contains("no line tells of request r9"));
+    assert!(text(&missing.stderr).contains("no log line about request r9"));
     let older = explain(&["r3"]);
     assert_eq!(older.status.code(), Some(1));
-    assert!(text(&older.stderr).contains("1 lines of request r3 are not understood"));
+    assert!(text(&older.stderr).contains("1 lines of request r3 could not be parsed"));
     let file = explain(&["r1", "no/such/file"]);
     assert_eq!(file.status.code(), Some(1));
     assert!(text(&file.stderr).contains("no/such/file"), "{}", text(&file.stderr));
--- a/crates/cli/tests/status.rs
+++ b/crates/cli/tests/status.rs
@@ -1,4 +1,7 @@
-//! `status`, `set --wait` and `drain` against a fleet that runs.
+//! `status`, `set --wait` and `drain` against a running fleet.
+//!
+//! Guards against reporting a change as in force too early: before every data centre has it, when its
+//! row was left out, or when a gateway does not respond.
 
 use std::process::Output;
 
@@ -11,9 +14,9 @@
 use serde_json::json;
 use tokio::process::Command;
 
-async fn tool(fleet: &Fleet, words: &[&str]) -> Output {
+async fn tool(fleet: &Fleet, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hooktrestle"));
-    command.args(["--platform", &fleet.fake.url()]).args(words).output().await.unwrap()
+    command.args(["--platform", &fleet.fake.url()]).args(arguments).output().await.unwrap()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -43,11 +46,11 @@
 async fn a_drain_is_waited_for_in_every_data_centre() {
     let fleet = fleet().await;
     let drained = tool(&fleet, &["drain", "backend_server:hints-1", "--wait"]).await;
-    let said = text(&drained.stdout);
-    assert!(drained.status.success(), "{said}{}", text(&drained.stderr));
-    assert!(said.contains("drain: (default) -> true"), "{said}");
+    let message = text(&drained.stdout);
+    assert!(drained.status.success(), "{message}{}", text(&drained.stderr));
+    assert!(message.contains("drain: (default) -> true"), "{message}");
     for centre in ["dar-1: version", "dar-2: version"] {
-        assert!(said.contains(centre), "{said}");
+        assert!(message.contains(centre), "{message}");
     }
     fleet.wait_in_force(|config| config.is_draining(config.server("hints-1").unwrap())).await;
     let dry = tool(&fleet, &["set", "--dry-run", "backend_server:hints-1", "weight=7"]).await;
@@ -59,13 +62,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_row_that_is_left_out_is_said_at_once_and_shown_by_status() {
     let fleet = fleet().await;
-    let words = ["set", "--wait", "backend_server:x", "service=nowhere", "data_centre=dar-1"];
-    let refused = tool(&fleet, &words).await;
+    let arguments = ["set", "--wait", "backend_server:x", "service=nowhere", "data_centre=dar-1"];
+    let refused = tool(&fleet, &arguments).await;
     assert_eq!(refused.status.code(), Some(1));
-    let said = text(&refused.stderr);
+    let message = text(&refused.stderr);
     assert!(
-        said.contains("backend_server:x is not accepted: service: there is no service"),
-        "{said}"
+        message.contains("backend_server:x is not accepted: service: there is no service"),
+        "{message}"
     );
     let status = tool(&fleet, &["status", "--json"]).await;
     let status: Value = serde_json::from_slice(&status.stdout).unwrap();
