--- a/crates/embedded/src/caller.rs
+++ b/crates/embedded/src/caller.rs
@@ -1,4 +1,6 @@
-//! A caller, as docs/CALLERS.md describes one.
+//! HTTP client of a caller, as docs/CALLERS.md describes one. Input: a gateway's URL and the key of
+//! a client account. State: the HTTP connections. Classifies each response as complete, refused or
+//! truncated.
 
 use std::time::Duration;
 
@@ -16,23 +18,23 @@
     key: String,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The whole answer.
+    /// The complete answer.
     Whole(String),
-    /// Refused or failed before any of the answer came: status, verdict and cause.
+    /// Refused or failed before any part of the answer was received.
     Refused {
         /// HTTP status.
         status: u16,
         /// `not-run`, `may-have-run` or `ran`.
         verdict: String,
-        /// Why.
+        /// Cause of the refusal.
         cause: String,
-        /// When to come back, if it says so.
+        /// Time after which to retry, if the refusal has one.
         retry_after_ms: Option<u64>,
     },
-    /// The answer broke off.
+    /// The part of a truncated answer that was received.
     Truncated(String),
 }
 
@@ -67,16 +69,16 @@
         self.post("/v1/chat/completions").json(&body)
     }
 
-    /// A call of a plain service.
+    /// A call to a plain service.
     pub fn plain(&self, service: &str, path: &str, body: String) -> RequestBuilder {
         self.post(&format!("/services/{service}/{path}")).body(body)
     }
 
-    /// A request key for calls of a service that are not repeatable.
+    /// Gets a request key for calls to a service that must not run twice.
     ///
     /// # Errors
     ///
-    /// The gateway gives none.
+    /// The gateway does not issue a key.
     pub async fn request_key(&self, service: &str) -> Result<String> {
         let answer = self.post(&format!("/v1/tickets?service={service}")).send().await?;
         let value: Value = answer.error_for_status()?.json().await?;
@@ -94,16 +96,16 @@
     }
 }
 
-/// Sends a call and reads its whole answer.
+/// Sends a call and reads the complete response.
 ///
 /// # Errors
 ///
-/// The gateway cannot be reached at all.
+/// The gateway cannot be reached, or a refusal is not in the documented form.
 pub async fn finish(call: RequestBuilder) -> Result<Outcome> {
     read(call.send().await?).await
 }
 
-/// Reads the answer of a call that was sent.
+/// Reads the response to a call.
 ///
 /// # Errors
 ///
--- a/crates/embedded/src/fleet.rs
+++ b/crates/embedded/src/fleet.rs
@@ -1,4 +1,6 @@
-//! Starting, stopping and configuring the path's processes.
+//! A fleet of gateways, sidecars and backend servers in this process. Input: rows and behaviours.
+//! State: the running processes by name. Starts, stops and configures them, and waits until a
+//! configuration is in force.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -32,7 +34,7 @@
 /// The shared link key of an embedded fleet.
 pub const LINK_KEY: &str = "embedded-link-key";
 
-/// A backend server: what stands behind a sidecar.
+/// A backend server behind a sidecar.
 #[derive(Debug)]
 pub enum Backend {
     /// A model engine.
@@ -41,25 +43,25 @@
     App(FakeApp),
 }
 
-/// How often processes look and speak.
+/// Intervals at which processes poll the platform and send heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct Intervals {
-    /// Mean time between two looks at the platform.
+    /// Mean time between two polls of the platform.
     pub poll_ms: u64,
     /// Time between two heartbeats.
     pub heartbeat_ms: u64,
 }
 
-/// A whole path.
+/// Gateways, sidecars and backend servers, with a stand-in of the platform.
 #[derive(Debug)]
 pub struct Fleet {
-    /// How often the processes started from now on look and speak; fast unless changed.
+    /// Intervals of the processes started from now on; shorter than in production unless changed.
     pub intervals: Intervals,
-    /// Where processes started from now on send their spans.
+    /// Collector to which processes started from now on send their spans.
     pub otlp_url: Option<String>,
-    /// The platform's stand-in.
+    /// The stand-in of the platform.
     pub fake: FakePlatform,
-    /// A client of it, as operators use one.
+    /// A client of the platform, as operators use it.
     pub platform: Platform,
     /// Gateways by name.
     pub gateways: BTreeMap<String, Gateway>,
@@ -69,7 +71,7 @@
     pub backends: BTreeMap<String, Backend>,
 }
 
-/// SHA-256 of an account's key, as its row holds it.
+/// SHA-256 of a client account's key, in the form that the account's row holds.
 pub fn key_sha256_hex(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
@@ -79,13 +81,13 @@
 }
 
 impl Fleet {
-    /// A platform, and nothing else yet.
+    /// Starts a fleet that consists of the platform only.
     ///
     /// # Errors
     ///
-    /// No free port.
+    /// There is no free port.
     pub async fn start() -> Result<Fleet> {
-        // Whoever embeds a fleet reads its own output, not that of a dozen processes.
+        // The log lines of a dozen processes would hide the output of the embedding program.
         spdlog::default_logger().set_level_filter(LevelFilter::MoreSevereEqual(Level::Error));
         let fake = FakePlatform::start(loopback()).await?;
         let platform = Platform::new(hooktrestle_platform::Config {
@@ -105,11 +107,11 @@
         })
     }
 
-    /// Starts a gateway and lists it.
+    /// Starts a gateway and adds it to the instance list.
     ///
     /// # Errors
     ///
-    /// It cannot start.
+    /// The gateway cannot start.
     pub async fn add_gateway(&mut self, name: &str, data_centre: &str) -> Result<()> {
         let settings = self.settings(name, "gateway", data_centre, "")?;
         let gateway = Gateway::start(&settings).await?;
@@ -118,11 +120,11 @@
         Ok(())
     }
 
-    /// Starts a model engine with its sidecar, and lists that.
+    /// Starts a model engine with its sidecar, and adds the sidecar to the instance list.
     ///
     /// # Errors
     ///
-    /// They cannot start.
+    /// The engine or the sidecar cannot start.
     pub async fn add_engine(
         &mut self,
         name: &str,
@@ -135,11 +137,11 @@
         Ok(())
     }
 
-    /// Starts a rank of a group with its sidecar, and lists that.
+    /// Starts a rank of a group with its sidecar, and adds the sidecar to the instance list.
     ///
     /// # Errors
     ///
-    /// They cannot start.
+    /// The engine or the sidecar cannot start.
     pub async fn add_rank(
         &mut self,
         name: &str,
@@ -154,11 +156,12 @@
         Ok(())
     }
 
-    /// Starts a plain application service with its sidecar, and lists that.
+    /// Starts a plain application service with its sidecar, and adds the sidecar to the instance
+    /// list.
     ///
     /// # Errors
     ///
-    /// They cannot start.
+    /// The service or the sidecar cannot start.
     pub async fn add_app(&mut self, name: &str, data_centre: &str) -> Result<()> {
         let app = FakeApp::start(loopback()).await?;
         self.add_sidecar(name, data_centre, &app.url()).await?;
@@ -166,11 +169,11 @@
         Ok(())
     }
 
-    /// Starts a sidecar before a backend server that runs already, and lists it.
+    /// Starts a sidecar for a running backend server, and adds it to the instance list.
     ///
     /// # Errors
     ///
-    /// It cannot start.
+    /// The sidecar cannot start.
     pub async fn add_sidecar(&mut self, name: &str, data_centre: &str, url: &str) -> Result<()> {
         let section = format!(
             "[sidecar]\nbackend_url = {url}\nplan_ms = 60\nlease_ms = 400\n\
@@ -183,7 +186,7 @@
         Ok(())
     }
 
-    /// Replaces a sidecar by a new one with an empty memory, before the same backend server.
+    /// Replaces a sidecar by a new one without any state, for the same backend server.
     ///
     /// # Errors
     ///
@@ -201,11 +204,11 @@
     ///
     /// # Panics
     ///
-    /// If there is none.
+    /// If there is no engine with this name.
     pub fn engine(&self, name: &str) -> &FakeEngine {
         match &self.backends[name] {
             Backend::Engine(engine) => engine,
-            Backend::App(_) => panic!("{name} is no engine"),
+            Backend::App(_) => panic!("{name} is not an engine"),
         }
     }
 
@@ -213,19 +216,19 @@
     ///
     /// # Panics
     ///
-    /// If there is none.
+    /// If there is no service with this name.
     pub fn app(&self, name: &str) -> &FakeApp {
         match &self.backends[name] {
             Backend::App(app) => app,
-            Backend::Engine(_) => panic!("{name} is no app"),
+            Backend::Engine(_) => panic!("{name} is not an application"),
         }
     }
 
-    /// Writes rows, as an operator does, whatever they were before; null deletes.
+    /// Writes rows, as an operator does, and overwrites any earlier value; null deletes a row.
     ///
     /// # Errors
     ///
-    /// An outage.
+    /// The table service fails, or a row was changed at the same time.
     pub async fn edit(&self, rows: &[(&str, Value)]) -> Result<()> {
         let mut checks = Vec::new();
         let mut writes = Vec::new();
@@ -245,20 +248,20 @@
         let gateways = self.gateways.values().map(Gateway::config);
         let sidecars = self.sidecars.values().map(Sidecar::config);
         for mut watch in gateways.chain(sidecars).collect::<Vec<config_sync::Watch>>() {
-            // An error means that the process has ended: it holds nothing in force.
+            // An error means that the process has ended, so it has no configuration in force.
             let _ =
                 watch.wait_for(|now| now.as_ref().is_some_and(|now| reached(&now.config))).await;
         }
     }
 
-    /// Waits until every gateway has a link to so many backend servers of a service.
+    /// Waits until every gateway has links to `servers` backend servers of a service.
     pub async fn wait_linked(&self, service: &str, servers: usize) {
         for gateway in self.gateways.values() {
             gateway.wait_linked(service, servers).await;
         }
     }
 
-    /// Any gateway's base URL.
+    /// Base URL of a gateway.
     ///
     /// # Panics
     ///
@@ -277,7 +280,7 @@
         });
     }
 
-    /// Settings as a file would hold them, with short spans: nothing here is far away.
+    /// Settings as a file would hold them, with short durations: all processes are on one machine.
     fn settings(&self, name: &str, role: &str, data_centre: &str, more: &str) -> Result<Settings> {
         let url = self.fake.url();
         let instances_url = self.fake.instances_url();
--- a/crates/embedded/src/lib.rs
+++ b/crates/embedded/src/lib.rs
@@ -1,13 +1,14 @@
-//! The whole path in one process: stand-ins for the platform and the backend servers, and real
-//! gateways and sidecars, all on loopback with free ports.
+//! A complete deployment in one process: real gateways and sidecars, and stand-ins of the platform
+//! and the backend servers, on loopback with free ports. Its input is rows and requests; its state
+//! is the running processes.
 //!
 //! - [`Fleet`]: starts and stops processes, edits rows, waits until they are in force.
-//! - [`Caller`]: a caller, as docs/CALLERS.md describes one.
+//! - [`Caller`]: the HTTP client of a caller, as docs/CALLERS.md describes one.
 //!
 //! # Limits
 //!
-//! "Processes" are tasks: killing one cuts its connections off, but its memory is not a separate
-//! address space.
+//! The processes are tasks. Dropping one closes its connections, but the tasks share one address
+//! space.
 
 pub mod caller;
 mod fleet;
--- a/crates/embedded/tests/common/mod.rs
+++ b/crates/embedded/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment, and what its answers should be.
+//! A small deployment, and the answers that its stand-in engines give.
 #![allow(dead_code, reason = "each test program uses a part")]
 
 use hooktrestle_embedded::Fleet;
@@ -13,7 +13,8 @@
 /// Key of an account with a small limit.
 pub const SMALL_KEY: &str = "small-key";
 
-/// Two gateways, `engines` model engines behind the service `hints`, one app behind `puzzles`.
+/// Starts two gateways, `engines` model engines of the service `hints`, and one application of the
+/// service `puzzles`.
 pub async fn deployment(engines: usize) -> Fleet {
     let mut fleet = Fleet::start().await.unwrap();
     for name in ["entry-1", "entry-2"] {
@@ -66,7 +67,7 @@
         .collect()
 }
 
-/// What the stand-in engine answers.
+/// The answer of the stand-in engine.
 pub fn expected(marker: &str, tokens: u64) -> String {
     (0..tokens).map(|number| format!("{marker}#{number} ")).collect()
 }
--- a/crates/embedded/tests/configuration.rs
+++ b/crates/embedded/tests/configuration.rs
@@ -1,4 +1,8 @@
-//! Accepted configurations: in force everywhere, and never older again.
+//! Accepted configurations are in force in every process, and versions never decrease.
+//!
+//! Guards against processes that miss a configuration during an outage of the store, that return to
+//! an older one after a restart, and against edits that are lost when operators or acceptors run at
+//! the same time.
 
 mod common;
 
@@ -36,8 +40,8 @@
     json!({ "service": "hints", "data_centre": "dar-1", "weight": weight })
 }
 
-/// Accepts what was edited, as some gateway would, and takes the store down before anybody can
-/// read it but `entry-1`.
+/// The store goes down once `entry-1` has an accepted edit. The other processes may not have read it
+/// by then, and receive it from their peers.
 #[tokio::test]
 async fn the_store_goes_down_right_after_an_acceptance() {
     let fleet = deployment(2).await;
@@ -58,7 +62,7 @@
     fleet.restart_sidecar("hints-1", "dar-1").await.unwrap();
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     loop {
-        // Until the gateway has noticed that the old process is gone, nobody can say `not-run`.
+        // Until the gateway has detected that the old process is gone, it cannot answer `not-run`.
         let outcome = finish(caller.chat("hints", "m", 3, true)).await.unwrap();
         let Outcome::Refused { verdict, cause, .. } = outcome else { panic!("{outcome:?}") };
         if cause == "not-ready" {
@@ -100,7 +104,7 @@
     };
     assert_eq!(message("backend_server:bad"), "service: there is no service `nowhere`");
     assert!(message("backend_server:worse").contains("from 0 to 10000"));
-    // The missing service comes: the row left out goes into force by itself.
+    // Once the missing service exists, the row that was left out is in force without another edit.
     fleet.edit(&[("service:nowhere", json!({ "kind": "plain" }))]).await.unwrap();
     fleet.wait_in_force(|config| config.server("bad").is_some()).await;
 }
@@ -166,7 +170,7 @@
     fleet.wait_in_force(|config| config.version == 5).await;
 }
 
-/// One process is cut off from the platform alone; it hears the newer version from its peers.
+/// Slow answers of the store and restarts of a sidecar must not bring an older version into force.
 #[tokio::test]
 async fn versions_only_grow_in_every_process_over_restarts_and_outages() {
     let mut fleet = deployment(2).await;
--- a/crates/embedded/tests/failures.rs
+++ b/crates/embedded/tests/failures.rs
@@ -1,5 +1,8 @@
-//! What callers are told when something dies, leaves or breaks: judged by the backend servers'
-//! ledgers.
+//! Responses to callers while backend servers, sidecars and gateways refuse, fail, leave or drain.
+//!
+//! Guards against a wrong verdict (`not-run` for a request that ran), a second run of a request that
+//! must run once, and truncated answers that look complete. The ledgers of the stand-in backend
+//! servers hold what really ran.
 
 mod common;
 
@@ -57,23 +60,23 @@
 #[tokio::test]
 async fn a_backend_server_that_asks_for_rest_gets_nothing_meanwhile() {
     let fleet = deployment(2).await;
-    let resting = Behaviour { refuse: true, retry_after_s: Some(500), ..Behaviour::default() };
+    let backing_off = Behaviour { refuse: true, retry_after_s: Some(500), ..Behaviour::default() };
     let chat =
         |number: u32| caller(&fleet, "entry-1").chat("hints", &format!("n-{number}"), 2, true);
-    fleet.engine("hints-1").set_behaviour(resting);
-    fleet.engine("hints-2").set_behaviour(resting);
+    fleet.engine("hints-1").set_behaviour(backing_off);
+    fleet.engine("hints-2").set_behaviour(backing_off);
     let outcome = finish(chat(0)).await.unwrap();
-    assert_eq!(outcome.verdict(), Some("not-run"), "both ask for rest");
-    // They would take requests by now.
+    assert_eq!(outcome.verdict(), Some("not-run"), "both ask for a back-off");
+    // Both servers accept requests from here on; the back-off still holds.
     fleet.engine("hints-1").set_behaviour(Behaviour::default());
     fleet.engine("hints-2").set_behaviour(Behaviour::default());
     for number in 1..6 {
         let Outcome::Refused { verdict, retry_after_ms, .. } = finish(chat(number)).await.unwrap()
         else {
-            panic!("it is refused")
+            panic!("the request was not refused")
         };
         assert_eq!(verdict, "not-run");
-        let left_ms = retry_after_ms.expect("a time to come back");
+        let left_ms = retry_after_ms.expect("a retry time");
         assert!((400_000..=500_000).contains(&left_ms), "{left_ms} ms");
     }
     for name in ["hints-1", "hints-2"] {
@@ -84,18 +87,18 @@
 #[tokio::test]
 async fn a_backend_server_that_names_a_limit_gets_no_more() {
     let fleet = deployment(1).await;
-    // One in ten seconds is sent to a server that takes none.
+    // A server with a limit of zero still gets one request every ten seconds.
     let limited = Behaviour { advertised_limit_per_s: Some(0.0), ..Behaviour::default() };
     fleet.engine("hints-1").set_behaviour(limited);
     let chat = |gateway: &str, number: u32| {
-        let asked = caller(&fleet, gateway).chat("hints", &format!("n-{number}"), 2, true);
-        asked.header("x-hooktrestle-deadline-ms", "2000")
+        let request = caller(&fleet, gateway).chat("hints", &format!("n-{number}"), 2, true);
+        request.header("x-hooktrestle-deadline-ms", "2000")
     };
     assert!(matches!(finish(chat("entry-1", 0)).await.unwrap(), Outcome::Whole(_)));
     for (number, gateway) in [(1, "entry-1"), (2, "entry-2"), (3, "entry-1")] {
         let outcome = finish(chat(gateway, number)).await.unwrap();
         let Outcome::Refused { verdict, retry_after_ms, .. } = outcome else {
-            panic!("it is refused")
+            panic!("the request was not refused")
         };
         assert_eq!(verdict, "not-run");
         assert!(retry_after_ms.is_some_and(|after_ms| after_ms > 2_000), "{retry_after_ms:?}");
@@ -219,7 +222,7 @@
     let mut response = call.send().await.unwrap();
     response.chunk().await.unwrap().unwrap();
     drop(response);
-    // The engine's one place is free again only if the run was cancelled.
+    // The sidecar has no running request before the timeout only if the run was cancelled.
     let running = fleet.sidecars["hints-1"].leave(Duration::from_secs(20)).await;
     assert_eq!(running, 0);
     assert_eq!(fleet.engine("hints-1").ledger.entry("gone").finished, 0);
@@ -234,7 +237,7 @@
         let call = caller(&fleet, "entry-1").plain("puzzles", &format!("{number}"), "y".to_owned());
         assert_eq!(finish(call).await.unwrap(), Outcome::Whole("y".to_owned()));
     }
-    let Outcome::Whole(text) = read(held).await.unwrap() else { panic!("not whole") };
+    let Outcome::Whole(text) = read(held).await.unwrap() else { panic!("not a complete answer") };
     assert_eq!(text.len(), 8 << 20);
 }
 
@@ -266,7 +269,7 @@
             tokio::spawn(finish(call))
         })
         .collect();
-    // 32 run at each worker; the rest waits.
+    // Each backend server runs 32 requests; the others wait.
     let ledgers = ["hints-1", "hints-2"].map(|name| fleet.engine(name).ledger.clone());
     while ledgers.iter().map(|ledger| ledger.all().len()).sum::<usize>() < 64 {
         tokio::task::yield_now().await;
@@ -347,7 +350,7 @@
         }
     }
     assert!(refused > 0);
-    // Another account is not touched.
+    // The limit of one account does not affect another.
     let call = caller(&fleet, "entry-1").chat("hints", "other", 1, true);
     assert!(matches!(finish(call).await.unwrap(), Outcome::Whole(_)));
 }
--- a/crates/embedded/tests/groups.rs
+++ b/crates/embedded/tests/groups.rs
@@ -1,5 +1,8 @@
-//! A group of ranks in lock-step, its expert map switched by the sidecars; the ranks check every
-//! step.
+//! A group of ranks in lock-step whose expert map the sidecars switch.
+//!
+//! Guards against a step in which two ranks use different maps or an expert is on no rank, and
+//! against a group that stalls. These arise when a rank fails to load weights, a leader is killed
+//! during a switch, or the store is down. The stand-in ranks check every step.
 
 use hooktrestle_embedded::Fleet;
 use hooktrestle_fakes::group::FakeGroup;
@@ -13,7 +16,7 @@
 const EXPERTS: usize = 16;
 const SLOTS: usize = 5;
 
-/// Four ranks behind the service `recap`, all led by whichever sidecar gets the lease.
+/// Starts four ranks of the service `recap`. The sidecar that gets the lease is their leader.
 async fn group() -> (Fleet, FakeGroup) {
     let mut fleet = Fleet::start().await.unwrap();
     let group = FakeGroup::start(RANKS, EXPERTS, SLOTS);
@@ -42,7 +45,7 @@
     shares.iter().map(|share| share / sum).collect()
 }
 
-/// Load of the slowest rank over the mean, as the group's maps stand.
+/// Load of the slowest rank over the mean, with the maps in use.
 fn skew(group: &FakeGroup, shares: &[f64]) -> f64 {
     let columns = group.experts();
     let replicas = |expert: u16| columns.iter().filter(|column| column.contains(&expert)).count();
@@ -86,7 +89,7 @@
     let mut steps = group.watch();
     let before = steps.borrow().run;
     let after = wait_for(&mut steps, |steps| steps.run > before + 1_500).await;
-    assert_eq!(after.map_version, 0, "a switch that one rank cannot make is called off");
+    assert_eq!(after.map_version, 0, "a switch that one rank cannot make is aborted");
     assert_eq!(after.faults, Vec::<String>::new());
     group.set_fails_loads(2, false);
     let shares = hot(&[0, 4, 8]);
@@ -100,7 +103,7 @@
     for round in 0..6_usize {
         let shares = hot(&[round, (round + 5) % EXPERTS, (round + 9) % EXPERTS]);
         group.set_popularity(shares.clone());
-        // Whoever leads is among these sooner or later; each comes back with an empty memory.
+        // All sidecars are restarted in turn, so the leader is among them; each starts without state.
         let name = format!("recap-{}", round % RANKS);
         fleet.restart_sidecar(&name, "hall-1").await.unwrap();
         let steps = wait_balanced(&group, &shares).await;
--- a/crates/embedded/tests/path.rs
+++ b/crates/embedded/tests/path.rs
@@ -1,4 +1,6 @@
-//! The whole path: caller, gateway, sidecar, backend server, and back.
+//! Requests from caller through gateway and sidecar to a backend server, and their answers.
+//!
+//! Guards against answers that are incomplete, belong to another caller or come for invalid calls.
 
 mod common;
 
@@ -59,7 +61,7 @@
     let body = "puzzle ".repeat(200_000);
     let outcome = finish(caller.plain("puzzles", "saved/7?x=1", body.clone())).await.unwrap();
     let Outcome::Whole(echo) = outcome else { panic!("{outcome:?}") };
-    assert!(echo == body, "{} bytes came back, not {}", echo.len(), body.len());
+    assert!(echo == body, "{} bytes returned, not {}", echo.len(), body.len());
     assert_eq!(fleet.app("puzzles-1").ledger.entry("/saved/7").finished, 1);
 }
 
--- a/crates/embedded/tests/subsets.rs
+++ b/crates/embedded/tests/subsets.rs
@@ -1,4 +1,7 @@
-//! Links follow the instance list, also where one gateway takes another's place.
+//! Links follow the instance list, also if one gateway replaces another.
+//!
+//! Guards against a gateway that opens no links although callers get its address: the list changes,
+//! but its length does not.
 
 use std::time::Duration;
 
@@ -10,7 +13,7 @@
 use hooktrestle_schema::InstanceState;
 use serde_json::json;
 
-fn is_given(gateways: &[String]) -> bool {
+fn is_offered(gateways: &[String]) -> bool {
     let instances: Vec<subset::Instance<'_>> =
         gateways.iter().map(|name| subset::Instance { name, is_local: false }).collect();
     let chosen = subset::choose("hints", &instances, subset::GATEWAYS_PER_SERVICE);
@@ -29,18 +32,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_links_once_it_is_given_to_callers_though_the_list_is_as_long_as_before() {
-    // `entry-1` and just as many that come before it, by their scores, as are given out.
+    // `entry-1`, and as many gateways with higher scores as callers of a service get.
     let own = || "entry-1".to_owned();
-    let ahead: Vec<String> = (0..)
+    let higher_scored: Vec<String> = (0..)
         .map(|number| format!("other-{number}"))
-        .filter(|name| !is_ahead(name))
+        .filter(|name| !scores_higher_than(name))
         .take(subset::GATEWAYS_PER_SERVICE)
         .collect();
-    let behind = (0..).map(|number| format!("late-{number}")).find(|name| is_ahead(name)).unwrap();
-    let all: Vec<String> = ahead.iter().cloned().chain([own()]).collect();
-    assert!(!is_given(&all));
+    let lower_scored =
+        (0..).map(|number| format!("late-{number}")).find(|name| scores_higher_than(name)).unwrap();
+    let all: Vec<String> = higher_scored.iter().cloned().chain([own()]).collect();
+    assert!(!is_offered(&all));
     let mut fleet = Fleet::start().await.unwrap();
-    ahead.iter().for_each(|name| list(&fleet, name));
+    higher_scored.iter().for_each(|name| list(&fleet, name));
     fleet.add_gateway("entry-1", "dar-1").await.unwrap();
     fleet.add_engine("hints-1", "dar-1", Behaviour::default()).await.unwrap();
     fleet
@@ -52,14 +56,14 @@
         .await
         .unwrap();
     fleet.wait_in_force(|config| config.servers.len() == 1).await;
-    list(&fleet, &behind);
-    fleet.fake.remove_instance(&ahead[0]);
+    list(&fleet, &lower_scored);
+    fleet.fake.remove_instance(&higher_scored[0]);
     let linked = fleet.wait_linked("hints", 1);
     tokio::time::timeout(Duration::from_secs(30), linked).await.expect("a link is opened");
 }
 
-/// Whether `entry-1` comes before this name when callers of `hints` are given gateways.
-fn is_ahead(name: &str) -> bool {
+/// Whether `entry-1` has a higher score than this name for the service `hints`.
+fn scores_higher_than(name: &str) -> bool {
     let pair = ["entry-1".to_owned(), name.to_owned()];
     let instances: Vec<subset::Instance<'_>> =
         pair.iter().map(|name| subset::Instance { name, is_local: false }).collect();
--- a/crates/embedded/tests/traces.rs
+++ b/crates/embedded/tests/traces.rs
@@ -1,4 +1,6 @@
 //! One trace from the caller to the backend server, with a span for each hop.
+//!
+//! Guards against a gateway or sidecar that drops the caller's trace context.
 
 mod common;
 
--- a/crates/fakes/src/app.rs
+++ b/crates/fakes/src/app.rs
@@ -1,7 +1,5 @@
-//! A plain application service: echoes what it gets.
-//!
-//! Any method and path. The answer's body is the request's; its marker in the ledger is the
-//! request's path.
+//! Stand-in of a plain application service. Input: requests with any method and path. State: the
+//! ledger, with the request's path as marker. It answers each request with the request's body.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,13 +20,13 @@
 /// An application service that stops when it is dropped.
 #[derive(Debug)]
 pub struct FakeApp {
-    /// What really ran.
+    /// The requests that ran.
     pub ledger: Ledger,
     server: ServerHandle,
 }
 
 impl FakeApp {
-    /// Starts one; port 0 picks a free port.
+    /// Starts a service; port 0 picks a free port.
     ///
     /// # Errors
     ///
@@ -48,7 +46,7 @@
         Ok(FakeApp { ledger, server })
     }
 
-    /// Its base URL.
+    /// Base URL of the service.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address)
     }
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -1,4 +1,5 @@
-//! A collector of spans: keeps what OTLP exporters send, undecoded.
+//! Stand-in of a trace collector. Input: the requests of OTLP exporters. State: their bodies, which
+//! are not decoded. It accepts every request.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,7 +22,7 @@
 }
 
 impl FakeCollector {
-    /// Starts one; port 0 picks a free port.
+    /// Starts a collector; port 0 picks a free port.
     ///
     /// # Errors
     ///
@@ -42,17 +43,17 @@
         Ok(FakeCollector { exports, server })
     }
 
-    /// Where exporters send.
+    /// URL to which exporters send.
     pub fn url(&self) -> String {
         format!("http://{}/v1/traces", self.server.address)
     }
 
-    /// Waits until some export holds all of these byte strings.
+    /// Waits until one export contains all of these byte strings.
     pub async fn wait(&self, parts: &[&[u8]]) {
         let holds = |export: &Bytes, part: &[u8]| export.windows(part.len()).any(|at| at == part);
         let all = |export: &Bytes| parts.iter().all(|part| holds(export, part));
         let mut exports = self.exports.subscribe();
-        // The sender lives as long as this does.
+        // `wait_for` cannot fail, since `self` holds the sender.
         let _ = exports.wait_for(|exports| exports.iter().any(all)).await;
     }
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,8 +1,9 @@
-//! A model engine: batches continuously, streams answers token by token.
+//! Stand-in of a model engine with continuous batching. Input: chat requests and a behaviour. State:
+//! the ledger. It answers one token in each step, or refuses, stalls or truncates as configured.
 //!
-//! `POST /v1/chat/completions` in the usual form. The last message's content is the request's
-//! marker; the answer repeats it with a count, so that a test sees whose answer it holds and
-//! whether it is whole.
+//! Requests are `POST /v1/chat/completions` in the usual form. The content of the last message is
+//! the request's marker. Each token of the answer is the marker with a number, so that a test can
+//! check to which request an answer belongs and whether it is complete.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -27,32 +28,32 @@
 use crate::serve::ServerHandle;
 use crate::serve::serve;
 
-/// Header by which a backend server says that it refused a request before running any of it.
+/// Header of a backend server's refusal: no part of the request ran.
 pub const NOT_RUN_HEADER: &str = "x-hooktrestle-not-run";
 
-/// Header by which an engine names how many requests a second it takes.
+/// Header with the advertised limit of an engine, in requests a second.
 pub const LIMIT_HEADER: &str = "x-hooktrestle-limit";
 
 /// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 16 << 20;
 
-/// Tokens of an answer whose request names no number.
+/// Tokens of an answer if the request has no `max_tokens`.
 const DEFAULT_TOKENS: u64 = 16;
 
-/// How an engine works, and misbehaves.
+/// Speed and faults of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
-    /// Time of one step: one token for each running request.
+    /// Duration of one step, which yields one token for each running request.
     pub step: Duration,
-    /// Refuses new requests before running any of them.
+    /// Refuses new requests before any part of them runs.
     pub refuse: bool,
-    /// Asks for a rest of so many seconds as it refuses.
+    /// Back-off that refusals ask for, as `Retry-After` in seconds.
     pub retry_after_s: Option<u64>,
-    /// Names so many requests a second as what it takes.
+    /// Limit that answers advertise, in requests a second.
     pub advertised_limit_per_s: Option<f64>,
-    /// Makes no progress.
+    /// Running requests make no progress.
     pub stalled: bool,
-    /// Breaks each answer off after this many tokens.
+    /// Truncates each answer after this many tokens.
     pub truncate_after_tokens: Option<u64>,
 }
 
@@ -69,10 +70,10 @@
     }
 }
 
-/// An engine that stops, cutting everything off, when it is dropped.
+/// An engine that stops and closes its connections when it is dropped.
 #[derive(Debug)]
 pub struct FakeEngine {
-    /// What really ran.
+    /// The requests that ran.
     pub ledger: Ledger,
     behaviour: Arc<watch::Sender<Behaviour>>,
     server: ServerHandle,
@@ -88,7 +89,7 @@
 }
 
 impl FakeEngine {
-    /// Starts one; port 0 picks a free port.
+    /// Starts an engine; port 0 picks a free port.
     ///
     /// # Errors
     ///
@@ -97,7 +98,7 @@
         FakeEngine::start_with(listen, behaviour, None).await
     }
 
-    /// Starts one that is a rank of a group.
+    /// Starts an engine that is a rank of a group.
     ///
     /// # Errors
     ///
@@ -124,12 +125,12 @@
         Ok(FakeEngine { ledger, behaviour, server })
     }
 
-    /// Its base URL.
+    /// Base URL of the engine.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address)
     }
 
-    /// Works differently from now on.
+    /// Replaces the behaviour, also for running requests.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.behaviour.send_replace(behaviour);
     }
@@ -159,7 +160,7 @@
         .map(Reply::into_response)
 }
 
-/// Orders to a rank, and its counts; an engine outside of a group has neither.
+/// Routes for orders to a rank and for its counts; an engine outside of a group has neither.
 fn control(
     member: Option<(FakeGroup, usize)>,
 ) -> impl Filter<Extract = (warp::reply::Response,), Error = warp::Rejection>
@@ -218,7 +219,7 @@
 }
 
 impl Answer {
-    /// Server-sent events, one a token; an error breaks the connection off.
+    /// Server-sent events, one for each token; an error closes the connection.
     fn into_stream(self) -> warp::reply::Response {
         let events = stream::unfold(Some(self), |answer| async move {
             let mut answer = answer?;
@@ -248,7 +249,7 @@
             .into_response()
     }
 
-    /// The next event of a stream; the one after the last token says that it is whole.
+    /// The next event of a stream; `[DONE]` follows the last token and marks the answer as complete.
     async fn step(&mut self) -> std::io::Result<Option<Bytes>> {
         if self.next > self.tokens {
             return Ok(None);
@@ -268,10 +269,10 @@
         }
         let step = self.behaviour.borrow().step;
         tokio::time::sleep(step).await;
-        // Waits out a stall; a dropped sender means that the engine has stopped.
+        // Waits for the end of a stall; a dropped sender means that the engine has stopped.
         let _ = self.behaviour.wait_for(|behaviour| !behaviour.stalled).await;
         if self.behaviour.borrow().truncate_after_tokens.is_some_and(|limit| self.next >= limit) {
-            return Err(std::io::Error::other("told to break off"));
+            return Err(std::io::Error::other("answer truncated as configured"));
         }
         let token = format!("{}#{} ", self.marker, self.next);
         self.next += 1;
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -1,6 +1,8 @@
-//! A group of ranks in lock-step: checks in every step that all use one and the same map.
+//! Stand-in of a group of ranks in lock-step. Input: map orders and the popularity of experts. State:
+//! the map of each rank, token counts and steps. It checks in every step that all ranks use the same
+//! map and that each expert is on a rank.
 //!
-//! Each rank keeps the fence of its orders, as an engine does that checks who gives them.
+//! Each rank stores the fencing token of its orders, as an engine does that checks their sender.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -25,7 +27,7 @@
 /// Tokens in one step of the whole group.
 const TOKENS_PER_STEP: f64 = 4_096.0;
 
-/// Steps for each look at the clock.
+/// Interval at which the group runs or holds a step.
 const STEP: Duration = Duration::from_millis(1);
 
 #[derive(Debug)]
@@ -36,16 +38,16 @@
     fails_loads: bool,
 }
 
-/// What a group has been through.
+/// Steps and faults of a group since its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Steps {
     /// Steps that ran.
     pub run: u64,
-    /// Looks at the clock at which some rank held the next step.
+    /// Intervals without a step, because a rank held it.
     pub held: u64,
     /// The map in use.
     pub map_version: u64,
-    /// What was wrong: steps with two maps, or with an expert nowhere.
+    /// Steps in which ranks used different maps, or an expert was on no rank.
     pub faults: Vec<String>,
 }
 
@@ -57,7 +59,7 @@
     steps: Steps,
 }
 
-/// A group; it steps until the last handle is dropped.
+/// Handle of a group, which steps until the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct FakeGroup {
     state: Arc<Mutex<State>>,
@@ -75,7 +77,7 @@
 }
 
 impl FakeGroup {
-    /// Starts a group with the layout to begin with.
+    /// Starts a group with round-robin placement.
     ///
     /// # Panics
     ///
@@ -103,17 +105,17 @@
         FakeGroup { state, steps, _stepping: Arc::new(Stepping(task)) }
     }
 
-    /// Sends tokens to experts in these shares from now on.
+    /// Sets the share of tokens of each expert from now on.
     pub fn set_popularity(&self, shares: Vec<f64>) {
         lock(&self.state).popularity = shares;
     }
 
-    /// Weight loads of a rank fail from now on, or no longer.
+    /// Sets whether weight loads of a rank fail from now on.
     pub fn set_fails_loads(&self, rank: usize, fails: bool) {
         lock(&self.state).members[rank].fails_loads = fails;
     }
 
-    /// What the group has been through, as it goes on.
+    /// Steps and faults of the group, updated in each interval.
     pub fn watch(&self) -> watch::Receiver<Steps> {
         self.steps.subscribe()
     }
@@ -123,7 +125,7 @@
         lock(&self.state).members.iter().map(|member| member.experts.clone()).collect()
     }
 
-    /// An order for one rank.
+    /// Applies an order to one rank; returns its reply.
     pub fn order(&self, rank: usize, order: &MapOrder) -> MapReply {
         let mut state = lock(&self.state);
         let member = &mut state.members[rank];
@@ -182,7 +184,7 @@
         let stands =
             |expert: u16| self.members.iter().any(|member| member.experts.contains(&expert));
         if let Some(missing) = (0..self.tokens.len()).find(|expert| !stands(*expert as u16)) {
-            self.steps.faults.push(format!("step {}: expert {missing} nowhere", self.steps.run));
+            self.steps.faults.push(format!("step {}: expert {missing} on no rank", self.steps.run));
         }
         self.steps.map_version = maps[0].version;
         self.steps.run += 1;
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What really ran at a backend server.
+//! Ledger of the requests that ran at a stand-in backend server. Input: starts and ends of requests.
+//! State: their counts by marker. Tests compare it with the responses that callers got.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,16 +8,16 @@
 
 use tokio::sync::watch;
 
-/// What became of one request at the backend server.
+/// Counts of one request at the backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Entry {
     /// How often it was started.
     pub started: u32,
-    /// How often its answer was given whole.
+    /// How often its answer was completed.
     pub finished: u32,
 }
 
-/// Requests by the marker that their callers gave them; clones share it.
+/// Requests by the marker that their callers gave them; clones share the entries.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     entries: Arc<Mutex<BTreeMap<String, Entry>>>,
@@ -30,23 +31,23 @@
 }
 
 impl Ledger {
-    /// A request has been started.
+    /// Records the start of a request.
     pub fn start(&self, marker: &str) {
         self.change(marker, |entry| entry.started += 1);
     }
 
-    /// A request's answer has been given whole.
+    /// Records the complete answer to a request.
     pub fn finish(&self, marker: &str) {
         self.change(marker, |entry| entry.finished += 1);
     }
 
-    /// What became of a request; zeros if it never came.
+    /// Counts of a request; zeros if it was never received.
     pub fn entry(&self, marker: &str) -> Entry {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries.get(marker).copied().unwrap_or_default()
     }
 
-    /// Everything that ran.
+    /// All requests that ran.
     pub fn all(&self) -> BTreeMap<String, Entry> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,14 +1,15 @@
-//! Stand-ins at hooktrestle's outer interfaces, for tests, examples and trials by hand.
+//! Stand-ins of the systems around hooktrestle, for tests, examples and manual trials. Their input
+//! is HTTP requests and faults to simulate, such as stalls, outages and lost answers. Their state is
+//! in memory.
 //!
 //! - [`platform`]: table service, object store and instance list.
 //! - [`engine`]: a model engine that streams an answer token by token.
 //! - [`group`]: ranks in lock-step that check their maps in every step.
 //! - [`app`]: a plain application service.
-//! - [`collector`]: takes spans.
-//! - [`ledger`]: what really ran: the judge of every claim that a request did not run.
+//! - [`collector`]: a collector of spans.
+//! - [`ledger`]: the requests that ran, against which tests check each claim that one did not run.
 //!
-//! Each listens on loopback and can be told to stall, to be down, or to lose an answer. They keep
-//! everything in memory.
+//! Each stand-in listens on the address that its program or test gives, usually loopback.
 
 pub mod app;
 pub mod collector;
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -1,4 +1,6 @@
-//! `hooktrestle-fakes`: one stand-in as a process, for starting a deployment by hand.
+//! `hooktrestle-fakes`: runs one stand-in as a process, for deployments that are started manually.
+//! Input: the kind of stand-in and its address. State: that of the stand-in. It serves until it is
+//! killed.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -26,7 +28,7 @@
             cmd engine {
                 /// IP number and port to listen on.
                 required --listen address: SocketAddr
-                /// Time of one step, in milliseconds.
+                /// Duration of one step, in milliseconds.
                 optional --step-ms ms: u64
             }
             /// A plain application service.
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,4 +1,6 @@
-//! Table service, object store and instance list in one small server.
+//! Stand-in of the platform: table service, object store and instance list in one server. Input:
+//! HTTP requests and faults. State: tables, objects and instances, in memory. It commits a
+//! transaction if all its checks hold.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,10 +30,10 @@
 use crate::serve::ServerHandle;
 use crate::serve::serve;
 
-/// Largest body that is read.
+/// Largest request body.
 const BODY_LIMIT_BYTES: u64 = 64 << 20;
 
-/// How the platform misbehaves.
+/// Faults that the platform simulates.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Faults {
@@ -39,11 +41,11 @@
     pub down: bool,
     /// Every read of the instance list fails at once.
     pub list_down: bool,
-    /// Every answer comes this late.
+    /// Delay of every answer of the table service and the object store.
     pub delay_ms: u64,
-    /// So many transactions take effect, but their answers are lost.
+    /// Number of next transactions that take effect, but whose answers are lost.
     pub lose_answers: u32,
-    /// So many transactions are lost before they take effect.
+    /// Number of next transactions that are lost before they take effect.
     pub lose_requests: u32,
 }
 
@@ -59,7 +61,7 @@
     writes: u64,
 }
 
-/// The platform, in memory. It stops when the last handle is dropped.
+/// Handle of the platform, which stops when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct FakePlatform {
     state: Arc<Mutex<State>>,
@@ -73,7 +75,7 @@
 }
 
 impl FakePlatform {
-    /// Starts one; port 0 picks a free port.
+    /// Starts a platform; port 0 picks a free port.
     ///
     /// # Errors
     ///
@@ -94,12 +96,12 @@
         format!("{}/v1/instances", self.url())
     }
 
-    /// Misbehaves from now on, or stops to.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.state).faults = faults;
     }
 
-    /// Adds an instance to the list, or changes it.
+    /// Adds an instance to the list, or replaces it.
     pub fn list_instance(&self, instance: Instance) {
         let mut state = lock(&self.state);
         state.list_changes += 1;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove_instance(&self, name: &str) {
         let mut state = lock(&self.state);
         state.list_changes += 1;
@@ -216,7 +218,7 @@
         .map(Reply::into_response)
 }
 
-/// Answers a call, unless the platform is down, and as late as it is told to.
+/// Answers a call after the configured delay, with an error while the platform is down.
 async fn answer(state: Arc<Mutex<State>>, apply: impl FnOnce(&mut State) -> Response) -> Response {
     let faults = lock(&state).faults;
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -304,7 +306,7 @@
     TransactionAnswer { committed: true, revision: version, conflicts }
 }
 
-/// The check with the row's real version, if it fails. A deleted row counts as version 0.
+/// Returns the check with the row's stored version if it fails. A deleted row has version 0.
 fn failed_check(state: &State, check: RowCheck) -> Option<RowCheck> {
     let row = state.tables.get(&check.table).and_then(|rows| rows.get(&check.key));
     let version = match row {
--- a/crates/fakes/src/serve.rs
+++ b/crates/fakes/src/serve.rs
@@ -1,4 +1,5 @@
-//! Serving a warp filter on loopback until its handle is dropped.
+//! HTTP server of the stand-ins. Input: an address and a `warp` filter. State: the server's task.
+//! The server stops when its handle is dropped.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -9,7 +10,7 @@
 use warp::Filter;
 use warp::reply::Response;
 
-/// A server that stops, cutting everything off, when this is dropped.
+/// Handle of a server, which stops and closes its connections when the handle is dropped.
 #[derive(Debug)]
 pub(crate) struct ServerHandle {
     pub(crate) address: SocketAddr,
--- a/crates/hooktrestle/examples/quickstart.rs
+++ b/crates/hooktrestle/examples/quickstart.rs
@@ -1,8 +1,9 @@
-//! The whole path in one process: two users' services, real requests, experts moved as demand
-//! changes, workers drained under load.
+//! Gateways, sidecars and backend servers in one process, on loopback with free ports. The example
+//! takes no input. It sends requests to four services, makes some experts popular until they are
+//! moved, and drains backend servers under load.
 //!
-//! Everything listens on loopback with free ports and ends by itself. The last line counts the
-//! requests; the exit status is 0 only if each was answered whole.
+//! The last line counts the requests. The exit status is 0 only if every request got a complete
+//! answer and the experts were moved without a fault.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -28,7 +29,7 @@
 const LOAD_REQUESTS: usize = 120;
 const LOAD_TOKENS: u64 = 60;
 
-/// How the requests ended.
+/// Requests by outcome.
 #[derive(Default)]
 struct Tally {
     answered: usize,
@@ -137,7 +138,8 @@
     Ok(())
 }
 
-/// Makes a few experts of `hints` hot, and waits until its sidecars have moved them apart.
+/// Makes a few experts of `hints` popular, and waits until its sidecars have moved them to
+/// different ranks.
 async fn move_experts(group: &FakeGroup) -> Result<bool> {
     let mut shares = [1.0; EXPERTS];
     HOT.iter().for_each(|expert| shares[*expert] = 6.0);
@@ -152,7 +154,7 @@
     Ok(steps.faults.is_empty())
 }
 
-/// Sends many requests to both model services and drains one worker of each meanwhile.
+/// Sends many requests to both model services and drains one backend server of each meanwhile.
 async fn drain_under_load(fleet: &Fleet, tally: &mut Tally) -> Result<()> {
     println!("{LOAD_REQUESTS} requests, while hints-1 and recap-1 are drained");
     let mut calls = JoinSet::new();
--- a/crates/hooktrestle/src/lib.rs
+++ b/crates/hooktrestle/src/lib.rs
@@ -1,14 +1,14 @@
 //! A load balancer for expert-parallel model groups.
 //!
-//! This façade re-exports what other programs build on; the processes are `hooktrestled` (the
-//! daemon) and `hooktrestle` (the operators' tool).
+//! This crate re-exports the libraries that other programs build on. It holds no code of its own.
+//! The programs are `hooktrestled` (the daemon) and `hooktrestle` (the operators' tool).
 //!
-//! - [`core`]: every decision, without I/O.
-//! - [`schema`]: messages, rows and settings.
+//! - [`core`]: the decisions, without I/O.
+//! - [`schema`]: the types of messages, rows and settings.
 //!
 //! # Example
 //!
-//! Which of an account's requests goes first at a busy backend server:
+//! The order in which a busy backend server starts the requests of two client accounts:
 //!
 //! ```
 //! use hooktrestle::core::clock::Millis;
