--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,7 +1,9 @@
-//! Everything that two hooktrestle processes, or a process and its operators, have to agree on.
+//! Types of the data that hooktrestle processes exchange with each other, with the platform and with
+//! operators. They are generated from the JSON Schema files in `schema/` and hold no state; [`range`]
+//! decides whether values are valid.
 //!
-//! The types are generated from the JSON Schema files in `schema/` and committed, so that a
-//! build needs no generator; `cargo xtask generate` writes them anew.
+//! The generated code is committed, so that a build needs no generator; `cargo xtask generate` writes
+//! it again.
 //!
 //! - Links between processes: [`Frame`] and what it holds.
 //! - The operators' table: [`ServiceRow`], [`AccountRow`], [`BackendServerRow`],
@@ -11,7 +13,7 @@
 //!
 //! # Limits
 //!
-//! The generated types hold shapes, not ranges: [`range`] checks those against the schema.
+//! The generated types check the shape of values, not their ranges: [`range`] checks those.
 
 #[rustfmt::skip]
 #[allow(missing_docs, dead_code, clippy::all, clippy::pedantic, reason = "written by typify")]
--- a/crates/schema/src/range.rs
+++ b/crates/schema/src/range.rs
@@ -1,7 +1,8 @@
-//! Checks values against the units, ranges and names that the schema files state.
+//! Checks values against the names, types, units and ranges in the schema files. Input: JSON objects
+//! and texts from INI and CSV files. State: the parsed schema. Decides whether a value is valid.
 //!
-//! Generated types accept any number of the right width. Operators deserve an error that names
-//! the field, its range and the nearest known name instead, so this reads the schema itself.
+//! Generated types accept any number of the right width. This module reads the schema itself, so
+//! that an error names the field, its range and the most similar known name.
 
 use std::fmt;
 use std::sync::OnceLock;
@@ -12,7 +13,7 @@
 const SOURCES: [&str; 2] =
     [include_str!("../schema/rows.json"), include_str!("../schema/settings.json")];
 
-/// How far a misspelt name may be from a known one to be suggested, as a similarity of 0 to 1.
+/// Minimum similarity, from 0 to 1, of a misspelt name to a known one that is suggested.
 const MIN_SUGGESTION_SIMILARITY: f64 = 0.6;
 
 /// One field of a definition, as the schema states it.
@@ -20,11 +21,11 @@
 pub struct Field {
     /// The field's name.
     pub name: String,
-    /// What it means.
+    /// Description of the field.
     pub description: String,
     /// Unit of its value.
     pub unit: String,
-    /// JSON type: `integer`, `number`, `string`, `boolean`, or the name of an enum.
+    /// JSON type: `integer`, `number`, `string` or `boolean`; `string` for an enum.
     pub kind: String,
     /// Smallest allowed value, of a number.
     pub minimum: Option<f64>,
@@ -32,13 +33,13 @@
     pub maximum: Option<f64>,
     /// Value of a field that is left out.
     pub default: Option<Value>,
-    /// Whether it may not be left out.
+    /// Whether the field must be present.
     pub required: bool,
-    /// Allowed words, of an enum.
+    /// Allowed values of an enum; empty for other types.
     pub allowed_values: Vec<String>,
 }
 
-/// What is wrong with a value, and where.
+/// An invalid value and its field.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FieldError {
     field: String,
@@ -46,7 +47,7 @@
 }
 
 impl FieldError {
-    /// Name of the field at fault.
+    /// Name of the field.
     pub fn field(&self) -> &str {
         &self.field
     }
@@ -64,7 +65,7 @@
 ///
 /// # Panics
 ///
-/// If the schema has no such definition: a bug in the caller.
+/// If the schema has no such definition, which is an error in the calling code.
 pub fn fields(definition: &str) -> Vec<Field> {
     let object = lookup(definition);
     let required = object["required"].as_array().cloned().unwrap_or_default();
@@ -76,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// Every fault found, not only the first.
+/// All faults, not only the first.
 ///
 /// # Panics
 ///
@@ -98,11 +99,11 @@
     if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
-/// Turns text, as INI and CSV hold it, into the JSON value that the field wants.
+/// Parses text from an INI or CSV file into a JSON value of the field's type.
 ///
 /// # Errors
 ///
-/// The text is no value of the field's type.
+/// The text is not a value of the field's type.
 pub fn parse(field: &Field, text: &str) -> Result<Value, FieldError> {
     let parsed = match field.kind.as_str() {
         "integer" => text.parse::<u64>().ok().map(Value::from),
@@ -113,7 +114,7 @@
     parsed.ok_or_else(|| fault(&field.name, format!("`{text}` given; it {}", expected(field))))
 }
 
-/// The nearest known name, if one is near enough to be what was meant.
+/// The most similar known name, if its similarity is high enough for a suggestion.
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     known
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
--- a/xtask/src/lib.rs
+++ b/xtask/src/lib.rs
@@ -1,4 +1,4 @@
-//! Code generation and the house-style check, as a library that its tests call.
+//! Code generation and the house-style check, as a library for `cargo xtask` and its tests.
 
 pub mod generate;
 pub mod style;
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,5 @@
-//! `cargo xtask`: code generation and the house-style check.
+//! `cargo xtask`: code generation and the house-style check. Input: a subcommand and the files of
+//! the repository. It holds no state. `check` fails on outdated generated code and style findings.
 
 use eyre::Result;
 use eyre::ensure;
--- a/xtask/src/style.rs
+++ b/xtask/src/style.rs
@@ -1,7 +1,7 @@
-//! The house style, as far as a program can check it.
+//! House-style check. Input: the texts of the repository's files. It holds no state. Each rule
+//! checks one file, some of them against the other files, and returns its findings.
 //!
-//! Each rule looks at one file's text, or at the whole tree, and returns what it finds. Formatting,
-//! doc comments and lints are left to `cargo fmt` and `clippy`.
+//! `cargo fmt` and `clippy` check formatting, doc comments and lints.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,16 +10,16 @@
 
 use eyre::Result;
 
-/// Longest source file.
+/// Maximum length of a source file, in lines.
 const MAX_LINES: usize = 600;
 
-/// Where the names of the users' platform may stand.
+/// Folders that may contain the names of the users' platform.
 const PLATFORM_FOLDERS: [&str; 2] = ["platform/", "deploy/"];
 
-/// The names of the users' platform, one a line.
+/// File with the names of the users' platform, one a line.
 const PLATFORM_WORDS: &str = "platform/words.txt";
 
-/// Modules that every request goes through.
+/// Modules on the path of every request.
 const REQUEST_PATH: [&str; 20] = [
     "crates/core/src/attempt.rs",
     "crates/core/src/direct/admission.rs",
@@ -43,7 +43,7 @@
     "crates/hooktrestled/src/sidecar/run.rs",
 ];
 
-/// Words that the brief replaces, and by what.
+/// Terms that the code must not use, and the term to use instead.
 const REPLACED_TERMS: [(&str, &str); 4] = [
     ("zone", "data centre"),
     ("customer", "client account"),
@@ -51,7 +51,7 @@
     ("upstream", "backend server"),
 ];
 
-/// Last parts of the names of numeric fields in the schema: units, and what counts something.
+/// Allowed last parts of the names of numeric fields in the schema: units and counted things.
 const UNITS: [&str; 29] = [
     "ms",
     "bytes",
@@ -84,14 +84,14 @@
     "port",
 ];
 
-/// One place that breaks a rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// The file, from the root.
     pub file: String,
     /// The line, from 1; 0 for the whole file.
     pub line: usize,
-    /// What is wrong there.
+    /// Description of the violation.
     pub message: String,
 }
 
@@ -101,10 +101,10 @@
     }
 }
 
-/// Texts of the tree's files by their path from the root.
+/// Texts of the files, by path from the repository's root.
 pub type Files = BTreeMap<String, String>;
 
-/// Reads the files that rules look at.
+/// Reads the files that the rules check.
 ///
 /// # Errors
 ///
@@ -120,7 +120,7 @@
         let path = entry?.path();
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
         if path.is_dir() {
-            // The journal holds records as they were written, not sources.
+            // The journal holds records that stay as they were written, not sources.
             if name != "target" && name != "journal" && !name.starts_with('.') {
                 read_below(root, &path, files)?;
             }
@@ -159,7 +159,7 @@
     findings
 }
 
-/// One import a line, in three groups: std, external, crate.
+/// Rule: one import a line, in three groups: std, external, crate.
 pub fn imports(file: &str, text: &str) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut group = 0;
@@ -191,9 +191,9 @@
     findings
 }
 
-/// The brief's words for four things.
+/// Rule: the terms in `REPLACED_TERMS` are not used.
 pub fn words(file: &str, text: &str) -> Vec<Finding> {
-    // The users' platform has other words, which are decoded in its folder.
+    // The users' platform uses other terms. Only its folder, where they are decoded, contains them.
     if file.starts_with("xtask/") || file.starts_with("platform/") {
         return Vec::new();
     }
@@ -210,7 +210,7 @@
     findings
 }
 
-/// Files stay small enough to read.
+/// Rule: source files have at most `MAX_LINES` lines.
 pub fn length(file: &str, text: &str) -> Vec<Finding> {
     let lines = text.lines().count();
     if lines <= MAX_LINES {
@@ -219,7 +219,7 @@
     vec![finding(file, 0, &format!("{lines} lines: split it ({MAX_LINES} at most)"))]
 }
 
-/// No dynamic dispatch where every request goes through.
+/// Rule: no dynamic dispatch in the modules on the path of every request.
 pub fn dynamic(file: &str, text: &str) -> Vec<Finding> {
     if !REQUEST_PATH.contains(&file) {
         return Vec::new();
@@ -233,7 +233,7 @@
     found.map(|(index, _)| finding(file, index, "`dyn` on the request path")).collect()
 }
 
-/// Numeric fields of the schema carry their unit.
+/// Rule: the name of a numeric schema field ends with its unit.
 pub fn units(file: &str, text: &str) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -241,12 +241,12 @@
             line.contains("\"type\": \"integer\"") || line.contains("\"type\": \"number\"");
         let name = line.trim().strip_prefix('"').and_then(|rest| rest.split('"').next());
         let Some(name) = name.filter(|_| numeric) else { continue };
-        // `{ "id": …, "more_bytes": … }` on one line names its field last.
+        // The last field name before the type, as in `{ "id": …, "more_bytes": … }`.
         let last = line.split("\"type\": \"integer\"").next().unwrap_or(line);
         let name =
             last.rsplit("\": {").nth(1).and_then(|rest| rest.rsplit('"').next()).unwrap_or(name);
         let suffix = name.rsplit('_').next().unwrap_or_default();
-        // Elements of an array have no name of their own.
+        // `items` describes the elements of an array, which have no name.
         if name != "items" && !UNITS.contains(&suffix) {
             findings.push(finding(file, index, &format!("`{name}` does not end with its unit")));
         }
@@ -254,7 +254,7 @@
     findings
 }
 
-/// Links between pages lead somewhere.
+/// Rule: links between pages refer to existing files.
 pub fn links(file: &str, text: &str, files: &Files) -> Vec<Finding> {
     let folder = file.rsplit_once('/').map_or("", |(folder, _)| folder);
     let mut findings = Vec::new();
@@ -273,7 +273,7 @@
     findings
 }
 
-/// Test names in the table of guarantees are those of tests that exist.
+/// Rule: the tests named in the table of guarantees exist.
 pub fn named_tests(file: &str, text: &str, files: &Files) -> Vec<Finding> {
     if !file.ends_with("GUARANTEES.md") {
         return Vec::new();
@@ -299,7 +299,7 @@
     findings
 }
 
-/// The names of the users' platform are decoded in one folder, and stand nowhere else.
+/// Rule: the names of the users' platform occur only in the folders of that platform.
 pub fn platform_words(file: &str, text: &str, files: &Files) -> Vec<Finding> {
     if PLATFORM_FOLDERS.iter().any(|folder| file.starts_with(folder)) {
         return Vec::new();
--- a/xtask/tests/style.rs
+++ b/xtask/tests/style.rs
@@ -1,4 +1,6 @@
-//! Each rule of the house-style check, seen to fail and to pass.
+//! Rules of the house-style check, each with a text that passes and one that fails.
+//!
+//! Guards against a rule that accepts everything, or that rejects valid text.
 
 use xtask::style;
 use xtask::style::Files;
