--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -1,10 +1,10 @@
-//! What control costs a node: bytes, processor time, memory, and reads of the table service, as
-//! links, nodes and accounts grow; slopes by least squares, and what they come to at the size
-//! aimed at.
+//! Cost of the control traffic of a node. Input: numbers of gateways, sidecars and client accounts.
+//! State: one fleet for each size. Measures bytes, processor time, memory and reads of the table
+//! service, and fits the cost of each gateway, sidecar and link by least squares.
 //!
-//! All nodes run as tasks of this process, at the pace of the default settings, idle but for
-//! control. Bytes are those of the loopback interface, headers and acknowledgements included; run
-//! it on a machine that is quiet otherwise.
+//! All nodes run as tasks of this process with the intervals of the default settings, and serve no
+//! requests. Bytes are those of the loopback interface, with headers and acknowledgements. The
+//! machine must have no other load.
 
 use std::fs;
 use std::time::Duration;
@@ -19,34 +19,34 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// How long each point is measured.
+/// Length of the measurement of each point.
 const MEASUREMENT: Duration = Duration::from_secs(12);
 
-/// Ticks a second in which the kernel counts processor time.
+/// Clock ticks a second, the kernel's unit of processor time.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// The pace of the default settings.
+/// Intervals of the default settings.
 const DEFAULT_INTERVALS: Intervals = Intervals { poll_ms: 1_500, heartbeat_ms: 2_000 };
 
-/// One size.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Gateways.
     pub gateways: usize,
-    /// Sidecars, all of one service: each gateway links to each.
+    /// Sidecars, all of one service: each gateway has a link to each sidecar.
     pub sidecars: usize,
     /// Client accounts.
     pub accounts: usize,
 }
 
-/// What was measured at one size.
+/// Measurement at one size.
 #[derive(Clone, Copy, Debug)]
 pub struct Point {
-    /// The size.
+    /// Size of the fleet.
     pub size: Size,
-    /// Bytes a second over loopback, each counted once.
+    /// Bytes a second over the loopback interface, each counted once.
     pub bytes_per_s: f64,
-    /// Cores' time, as a part of one core.
+    /// Processor time, as a fraction of one core.
     pub core_fraction: f64,
     /// Resident memory of the whole process, in bytes.
     pub memory_bytes: f64,
@@ -54,12 +54,12 @@
     pub reads_per_s: f64,
 }
 
-/// Cost for each gateway, sidecar and link, and what does not depend on them.
+/// Cost of each gateway, sidecar and link, and the constant part.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
-    /// Constant, for each gateway, for each sidecar, for each link.
+    /// Constant term, and terms for each gateway, sidecar and link.
     pub terms: [f64; 4],
-    /// Largest deviation of a point from the fit, over the largest point.
+    /// Largest deviation of a point from the fit, relative to the largest point.
     pub max_deviation: f64,
 }
 
@@ -117,11 +117,11 @@
     })
 }
 
-/// Least squares over the points.
+/// Fits a value of the points by least squares.
 ///
 /// # Errors
 ///
-/// There are too few different sizes.
+/// There are too few different sizes for the four terms.
 pub fn fit(points: &[Point], value: impl Fn(&Point) -> f64) -> Result<Fit> {
     let mut matrix = [[0.0_f64; 5]; 4];
     for point in points {
@@ -133,7 +133,7 @@
             matrix[i][4] += a * value(point);
         }
     }
-    let terms = solve(matrix).ok_or_else(|| eyre!("too few different sizes"))?;
+    let terms = solve(matrix).ok_or_else(|| eyre!("too few different sizes for a fit"))?;
     let largest = points.iter().map(&value).fold(0.0, f64::max);
     let predicted = |point: &Point| -> f64 {
         point.size.row().iter().zip(terms).map(|(a, term)| a * term).sum()
@@ -142,7 +142,7 @@
     Ok(Fit { terms, max_deviation: errors.fold(0.0, f64::max) / largest })
 }
 
-/// Gaussian elimination with the largest pivot.
+/// Gaussian elimination with partial pivoting.
 fn solve(mut matrix: [[f64; 5]; 4]) -> Option<[f64; 4]> {
     for column in 0..4 {
         let pivot = (column..4)
@@ -176,7 +176,7 @@
     let after_name = text.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |index: usize| -> Result<f64> {
-        Ok(fields.get(index).ok_or_else(|| eyre!("a short stat line"))?.parse()?)
+        Ok(fields.get(index).ok_or_else(|| eyre!("/proc/self/stat has too few fields"))?.parse()?)
     };
     Ok((ticks(11)? + ticks(12)?) / CLOCK_TICKS_PER_S)
 }
@@ -185,6 +185,6 @@
     let text = fs::read_to_string("/proc/self/status")?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|line| line.split_whitespace().next());
-    let kilobytes = kilobytes.ok_or_else(|| eyre!("no VmRSS"))?;
+    let kilobytes = kilobytes.ok_or_else(|| eyre!("/proc/self/status has no VmRSS"))?;
     Ok(kilobytes.parse::<f64>()? * 1024.0)
 }
--- a/crates/bench/src/control_report.rs
+++ b/crates/bench/src/control_report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench control` prints.
+//! Report of `hooktrestle-bench control`. Input: the measurements of the sizes below. It holds no
+//! state. Prints each measurement, the fitted costs, and their extrapolation to the target size.
 
 use eyre::Result;
 use hooktrestle_bench::control::Fit;
@@ -7,7 +8,7 @@
 use hooktrestle_bench::control::fit;
 use hooktrestle_bench::control::measure;
 
-/// Sizes for the slopes of nodes and links.
+/// Sizes for the cost of nodes and links.
 const SIZES: [Size; 7] = [
     Size { gateways: 1, sidecars: 1, accounts: 10 },
     Size { gateways: 1, sidecars: 16, accounts: 10 },
@@ -18,14 +19,14 @@
     Size { gateways: 24, sidecars: 16, accounts: 10 },
 ];
 
-/// Sizes for the slope of accounts.
+/// Sizes for the cost of client accounts.
 const ACCOUNTS: [Size; 3] = [
     Size { gateways: 4, sidecars: 8, accounts: 100 },
     Size { gateways: 4, sidecars: 8, accounts: 1_000 },
     Size { gateways: 4, sidecars: 8, accounts: 4_000 },
 ];
 
-/// The size aimed at.
+/// Target size.
 const GATEWAYS: f64 = 360.0;
 const SIDECARS: f64 = 630.0;
 const SERVICES: f64 = 14.0;
@@ -35,7 +36,7 @@
 /// Measures and prints everything.
 pub(crate) fn print() -> Result<()> {
     println!("gateways sidecars links accounts   B/s  core%   MB  reads/s");
-    // Accounts first: memory that was once used is not given back.
+    // Accounts first, since the process does not release memory that earlier sizes used.
     let accounts = run(&ACCOUNTS)?;
     let idle = &run(&SIZES)?;
     let bytes = fit(idle, |point| point.bytes_per_s)?;
@@ -55,7 +56,7 @@
     Ok(())
 }
 
-/// Measures each size in a runtime of its own, which ends every task of it.
+/// Measures each size in a separate runtime, whose end stops all its tasks.
 fn run(sizes: &[Size]) -> Result<Vec<Point>> {
     let mut points = Vec::new();
     for size in sizes {
@@ -90,7 +91,8 @@
     );
 }
 
-/// Bytes of a link count at both of its ends: what one sends, the other receives.
+/// Extrapolates to the target size. Bytes of a link count at both ends, since each sent byte is
+/// also received.
 fn target(bytes: &Fit, core: &Fit, reads: &Fit) {
     let links = SERVICES * GATEWAYS_PER_SERVICE * SERVERS_PER_GATEWAY;
     let (of_gateway, of_sidecar) = (links / GATEWAYS, links / SIDECARS);
--- a/crates/bench/src/counts.rs
+++ b/crates/bench/src/counts.rs
@@ -1,5 +1,8 @@
-//! Recorded counts: CSV, a row a tick; the first column is the tick's time in ms, then a column for
-//! each expert with that tick's tokens.
+//! Reader of recorded token counts. Input: a CSV file with one row for each tick. It holds no
+//! state. Checks that all rows have the same number of experts.
+//!
+//! The first column is the time of the tick in milliseconds; each further column is the number of
+//! tokens of one expert in that tick.
 
 use std::path::Path;
 
@@ -8,7 +11,7 @@
 use eyre::ensure;
 use eyre::eyre;
 
-/// One row.
+/// Counts of one tick.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// Time of the tick.
@@ -17,11 +20,11 @@
     pub tokens: Vec<f64>,
 }
 
-/// Reads a file of counts; a first row that is no numbers is taken for column names.
+/// Reads a file of counts; a first row that does not start with a number holds column names.
 ///
 /// # Errors
 ///
-/// A row that is malformed, with file and line, and what it should hold.
+/// The file cannot be read or has no counts, or a row is malformed; the error names file and line.
 pub fn read(path: &Path) -> Result<Vec<Row>> {
     let name = path.display();
     let reader = csv::ReaderBuilder::new().has_headers(false).from_path(path);
@@ -39,27 +42,27 @@
         if let Some(first) = rows.first() {
             ensure!(
                 row.tokens.len() == first.tokens.len(),
-                "{name}:{line}: {} experts, and {} before",
+                "{name}:{line}: {} experts, but {} in the first row",
                 row.tokens.len(),
                 first.tokens.len()
             );
         }
         rows.push(row);
     }
-    ensure!(!rows.is_empty(), "{name}: holds no counts");
+    ensure!(!rows.is_empty(), "{name}: has no counts");
     Ok(rows)
 }
 
 fn row(record: &csv::StringRecord) -> Result<Row> {
     let mut cells = record.iter();
     let at = cells.next().unwrap_or_default();
-    let at_ms = at.trim().parse().map_err(|_| eyre!("`{at}` is no time in ms"))?;
+    let at_ms = at.trim().parse().map_err(|_| eyre!("`{at}` is not a time in ms"))?;
     let tokens = cells.map(|cell| {
         let number =
             cell.trim().parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0);
-        number.ok_or_else(|| eyre!("`{cell}` is no number of tokens"))
+        number.ok_or_else(|| eyre!("`{cell}` is not a number of tokens"))
     });
     let tokens = tokens.collect::<Result<Vec<f64>>>()?;
-    ensure!(!tokens.is_empty(), "no column of an expert");
+    ensure!(!tokens.is_empty(), "the row has no column of an expert");
     Ok(Row { at_ms, tokens })
 }
--- a/crates/bench/src/demand.rs
+++ b/crates/bench/src/demand.rs
@@ -1,8 +1,9 @@
-//! Seeded demand for the experts of one layer.
+//! Generator of demand for the experts of one layer. Input: a seed and the size of the layer.
+//! State: the popularity of each expert. Draws the tokens of each expert in each tick.
 //!
-//! Popularity follows a power law. Every half hour the hot set turns over within minutes; now and
-//! then a theme lifts a few experts at once and goes again. Counts are drawn around it, come one
-//! tick late, and some are missing.
+//! Popularity follows a power law. Every half hour the set of popular experts changes within
+//! minutes. At random times a theme makes a few experts more popular at once for some minutes.
+//! Counts are drawn around the popularity, arrive one tick late, and some are missing.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -11,46 +12,46 @@
 use rand_distr::Distribution;
 use rand_distr::Poisson;
 
-/// Seconds of one tick.
+/// Length of a tick in seconds.
 pub const TICK_S: u64 = 10;
 
-/// Ticks between two turnovers of the hot set.
+/// Ticks between two turnovers of the set of popular experts.
 const TURNOVER_TICKS: u64 = 30 * 60 / TICK_S;
 
-/// Ticks that a turnover takes.
+/// Length of a turnover in ticks.
 const RAMP_TICKS: u64 = 3 * 60 / TICK_S;
 
-/// Ticks that a sudden theme lasts.
+/// Length of a theme in ticks.
 const THEME_TICKS: u64 = 8 * 60 / TICK_S;
 
-/// Mean ticks from one theme to the next.
+/// Mean number of ticks from the end of one theme to the start of the next.
 const MEAN_THEME_INTERVAL_TICKS: f64 = 120.0;
 
-/// How much more popular a theme makes its experts.
+/// Factor by which a theme increases the popularity of its experts.
 const THEME_FACTOR: f64 = 4.0;
 
-/// Share of counts that never come.
+/// Fraction of counts that never arrive.
 const MISSING_FRACTION: f64 = 0.05;
 
-/// What demand looks like.
+/// Parameters of the demand.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Experts of the layer.
     pub experts: usize,
     /// Exponent of the power law.
     pub zipf: f64,
-    /// Tokens, times experts for each, in one tick.
+    /// Tokens in one tick, times the experts that each token uses.
     pub tokens_per_tick: f64,
-    /// Seed of everything.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// One tick.
+/// Demand and counts of one tick.
 #[derive(Clone, Debug)]
 pub struct Tick {
-    /// Tokens that each expert really had.
+    /// Actual tokens of each expert.
     pub tokens: Vec<f64>,
-    /// What is known of the tick before: `None` if its counts never came.
+    /// Counts of the tick before; `None` if they never arrive.
     pub late_counts: Option<Vec<f64>>,
 }
 
@@ -68,7 +69,7 @@
 }
 
 impl Demand {
-    /// Demand from its beginning.
+    /// Demand at its first tick.
     pub fn new(config: Config) -> Demand {
         let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
         let from = power_law(&config, &mut rng);
--- a/crates/bench/src/emulator.rs
+++ b/crates/bench/src/emulator.rs
@@ -1,9 +1,12 @@
-//! Groups of ranks in lock-step with callers that wait, leave and come back, in simulated time.
+//! Simulator of groups of ranks in lock-step, with callers that wait, time out and retry. Input: a
+//! scenario and an admission policy. State: the streams of each group and the waiting requests.
+//! Counts the requests that are answered in time, late or not at all.
 //!
-//! A group makes one pass after the other; a pass takes as long as its slowest rank, and each of its
-//! streams gets one event by it. So every stream makes all streams slower, and one that cannot be on
-//! time any more still does. The admission of `hooktrestle_core` runs here unchanged, beside baselines,
-//! on the same arrivals. Nothing here reads a clock: a seed gives the same figures on every run.
+//! A group runs one pass after the other. A pass takes as long as its slowest rank, and each
+//! running stream gets one event from it. Each stream therefore makes all streams slower, also a
+//! stream that can no longer be in time. The admission control of `hooktrestle_core` runs
+//! unchanged, next to baselines, on the same arrivals. Time is simulated, so a seed gives the same
+//! figures on every run.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,25 +23,25 @@
 /// Length of a step of the simulation.
 const STEP_MS: u64 = 5;
 
-/// Time after which a caller whose stream has not begun leaves, and comes back if it may.
+/// Time after which a caller without a first event gives up the attempt. It retries once.
 const CALLER_TIMEOUT_MS: u64 = 2_000;
 
-/// Longest time to come back that callers heed.
+/// Maximum retry time that callers respect.
 const MAX_RETRY_AFTER_MS: u64 = 2_600;
 
-/// Worth of an answer that is late, over that of one in time, as on the users' sheets.
+/// Score of a late answer, relative to one in time, by the users' scoring.
 const LATE_SCORE: f64 = 0.245;
 
-/// What a request costs that came back after a refusal and is refused again, over its worth, as on the
-/// users' pages.
+/// Cost of a request that is retried and refused again, relative to the score of an answer in time,
+/// by the users' scoring.
 const REPEATED_REFUSAL_COST: f64 = 0.3;
 
 /// A span of simulated time.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// Its beginning.
+    /// Start of the span.
     pub from_ms: u64,
-    /// Its end.
+    /// End of the span.
     pub to_ms: u64,
 }
 
@@ -48,49 +51,50 @@
     }
 }
 
-/// The groups, and what comes upon them.
+/// Groups of a service, with their traffic and faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Groups of the service.
     pub groups: usize,
     /// Ranks of a group.
     pub ranks: usize,
-    /// Streams that a rank works on at once; more wait there.
+    /// Streams that a rank runs at once; further ones wait at the rank.
     pub slots: usize,
-    /// Gateways, each with an admission of its own.
+    /// Gateways, each with a separate admission control.
     pub gateways: usize,
-    /// A pass with no stream.
+    /// Length of a pass without streams.
     pub min_pass_ms: f64,
-    /// What a stream adds to its rank's own part of a pass.
+    /// Time that a stream adds to the part of a pass that depends on its rank alone.
     pub rank_ms_per_stream: f64,
-    /// What a stream adds to the experts' part, shared by all ranks, while each bears the same.
+    /// Time that a stream adds to the experts' part of a pass, which all ranks share, if the ranks
+    /// are equally loaded.
     pub experts_ms_per_stream: f64,
-    /// The most loaded rank over the mean.
+    /// Load of the most loaded rank over the mean.
     pub skew: f64,
-    /// The same for half a second after each shift of demand.
+    /// Skew for half a second after each shift of demand.
     pub skew_after_shift: f64,
     /// Time between shifts.
     pub shift_every_ms: u64,
-    /// Mean events of a stream.
+    /// Mean number of events of a stream.
     pub events: f64,
-    /// Streams asked for a second.
+    /// Requests for streams a second.
     pub arrivals_per_s: f64,
-    /// Traffic that is so many times as much.
+    /// Spans with more traffic, and the factor of each.
     pub bursts: Vec<(Span, f64)>,
-    /// Spans in which the first group stands still.
+    /// Spans in which the first group is stalled.
     pub stalls: Vec<Span>,
-    /// Longest time to the first event.
+    /// Latency objective of the first event.
     pub first_event_ms: u64,
-    /// Longest pause between events.
+    /// Latency objective of the pause between two events.
     pub pause_ms: f64,
-    /// How long it is played.
+    /// Length of the simulation.
     pub length_ms: u64,
     /// Seed of the arrivals.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// Streams of all groups whose passes stay within the pause that is owed.
+    /// Number of streams in all groups at which passes take as long as the objective of the pause.
     pub fn capacity_streams(&self) -> usize {
         let each_ms = self.rank_ms_per_stream + self.experts_ms_per_stream * self.skew;
         let of_rank = (self.pause_ms - self.min_pass_ms) / each_ms;
@@ -98,11 +102,11 @@
     }
 }
 
-/// Pass with the usual traffic, as gateways see it on the users' deployments.
+/// Length of a pass with the usual traffic, as gateways observe it on the users' deployments.
 const USUAL_PASS_MS: f64 = 60.0;
 
-/// Groups of 12 to 128 ranks on days with two bursts, with halts, and with both. The traffic is what
-/// makes usual passes.
+/// Groups of 12 to 128 ranks with two bursts, with stalls, and with both. The traffic is such that
+/// passes have the usual length.
 pub fn scenarios() -> Vec<(String, Scenario)> {
     let base = Scenario {
         groups: 1,
@@ -131,7 +135,7 @@
     let stalls =
         vec![Span { from_ms: 5_000, to_ms: 7_500 }, Span { from_ms: 24_000, to_ms: 26_500 }];
     let sizes = [(1, 12, 6), (3, 24, 32), (1, 63, 38), (2, 96, 149), (2, 128, 200)];
-    let mut found = Vec::new();
+    let mut named = Vec::new();
     for (name, with_bursts, with_stalls) in
         [("bursts", true, false), ("halts", false, true), ("both", true, true)]
     {
@@ -143,51 +147,52 @@
             scenario.arrivals_per_s = running * 1_000.0 / (scenario.events * USUAL_PASS_MS);
             scenario.bursts = if with_bursts { bursts.clone() } else { Vec::new() };
             scenario.stalls = if with_stalls { stalls.clone() } else { Vec::new() };
-            found.push((format!("{name}, {groups} of {ranks} ranks"), scenario));
+            named.push((format!("{name}, {groups} of {ranks} ranks"), scenario));
         }
     }
-    found
+    named
 }
 
-/// Who is let in.
+/// Policy of admission.
 #[derive(Clone, Copy, Debug)]
 pub enum Policy {
-    /// Everybody.
+    /// Admits all requests.
     AdmitAll,
-    /// So many streams at each gateway; the others come back after a second.
+    /// Admits this number of streams at each gateway; other callers retry after a second.
     FixedLimit(usize),
-    /// Admission as gateways have it, told how many slots are taken.
+    /// Admission control of the gateways, with the actual number of occupied slots.
     Gateway(admission::Config),
-    /// As many as passes bear, by what runs in all groups; it knows how long passes will be.
+    /// Admits a stream if the next pass meets the objective. Unlike a gateway, it knows the streams
+    /// of all groups and the length of the next pass.
     Oracle,
-    /// The same, and callers that come back are let in only while so large a part of what is borne runs:
-    /// they cannot be on time any more.
+    /// As `Oracle`, but admits retries only up to this fraction of the time available for passes,
+    /// since a retry can no longer be in time.
     FirstAttemptsPreferred(f64),
-    /// Everybody who comes for the first time; callers that come back as above.
+    /// Admits all first attempts, and retries as `FirstAttemptsPreferred`.
     RetriesYield(f64),
 }
 
-/// How the callers fared.
+/// Results of the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     /// Requests, each counted once.
     pub requests: u32,
-    /// Answered in time from the first try on.
+    /// Requests whose first attempt was answered with all events in time.
     pub in_time: u32,
-    /// Answered later.
+    /// Requests that were answered, but not in time.
     pub late: u32,
-    /// Refused for good.
+    /// Requests whose retry was refused too.
     pub refused: u32,
-    /// Left without an answer.
-    pub left: u32,
-    /// Mean pass while passes were made.
+    /// Requests whose retry timed out.
+    pub timed_out: u32,
+    /// Mean length of a pass.
     pub pass_ms: f64,
-    /// Last moment at which a pass was longer than the pause that is owed.
+    /// End of the last pass that was longer than the objective of the pause.
     pub last_long_ms: u64,
 }
 
 impl Outcome {
-    /// Worth of all answers over that of all requests, from the first try on.
+    /// Score of all answers, relative to the score if all requests were answered in time.
     pub fn score(&self) -> f64 {
         let earned = f64::from(self.in_time) + LATE_SCORE * f64::from(self.late);
         (earned - REPEATED_REFUSAL_COST * f64::from(self.refused)) / f64::from(self.requests.max(1))
@@ -197,8 +202,8 @@
 /// A caller's request.
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    asked_ms: u64,
-    tried_ms: u64,
+    arrived_ms: u64,
+    attempted_ms: u64,
     events: u32,
     is_retry: bool,
 }
@@ -208,8 +213,8 @@
     request: Request,
     gateway: usize,
     admitted_ms: u64,
-    left: u32,
-    begun: bool,
+    events_left: u32,
+    has_first_event: bool,
     in_time: bool,
 }
 
@@ -222,7 +227,7 @@
 #[derive(Clone, Debug)]
 struct Group {
     ranks: Vec<Rank>,
-    /// When the pass that is made ends, and how long it takes.
+    /// End and length of the running pass.
     pass: Option<(u64, f64)>,
 }
 
@@ -236,7 +241,7 @@
     }
 }
 
-/// Plays a scene under a policy.
+/// Simulates a scenario with a policy.
 pub fn simulate(scenario: &Scenario, policy: Policy) -> Outcome {
     let mut simulate = Simulation::new(scenario, policy);
     for now_ms in (0..scenario.length_ms).step_by(STEP_MS as usize) {
@@ -257,9 +262,9 @@
     rng: ChaCha8Rng,
     groups: Vec<Group>,
     admissions: Vec<Admission>,
-    /// Requests that wait at each gateway, and until when.
+    /// Requests that wait at each gateway, and the end of their wait.
     waiting: Vec<Vec<(Request, u64)>>,
-    /// When callers come back, by place among `returning`.
+    /// Times of retries, with the index in `retries`.
     due: BinaryHeap<Reverse<(u64, usize)>>,
     retries: Vec<Request>,
     next_ms: f64,
@@ -306,7 +311,8 @@
             let events = -self.scenario.events * self.rng.random::<f64>().max(1e-9).ln();
             let events = (events as u32).clamp(1, (2.5 * self.scenario.events) as u32);
             self.outcome.requests += 1;
-            let request = Request { asked_ms: now_ms, tried_ms: now_ms, events, is_retry: false };
+            let request =
+                Request { arrived_ms: now_ms, attempted_ms: now_ms, events, is_retry: false };
             self.arrive_at_gateway(request, now_ms);
         }
     }
@@ -317,12 +323,12 @@
                 return;
             }
             self.due.pop();
-            let request = Request { tried_ms: now_ms, is_retry: true, ..self.retries[place] };
+            let request = Request { attempted_ms: now_ms, is_retry: true, ..self.retries[place] };
             self.arrive_at_gateway(request, now_ms);
         }
     }
 
-    /// A request reaches one of the gateways.
+    /// Sends a request to a random gateway, which admits it, lets it wait or refuses it.
     fn arrive_at_gateway(&mut self, request: Request, now_ms: u64) {
         let gateway = self.rng.random_range(0..self.scenario.gateways);
         let all_stalled = self.least_loaded_group(now_ms).is_none();
@@ -333,7 +339,7 @@
             Decision::Admitted => self.begin(gateway, request, now_ms),
             Decision::Waits => {
                 self.admissions[gateway].wait_began();
-                let until = request.tried_ms + self.scenario.first_event_ms / 2;
+                let until = request.attempted_ms + self.scenario.first_event_ms / 2;
                 self.waiting[gateway].push((request, until));
             }
             Decision::Refused(after) => self.refuse(request, after, now_ms),
@@ -357,7 +363,7 @@
                 }
             }
             Policy::Gateway(_) => {
-                let spent_ms = now_ms - request.tried_ms;
+                let spent_ms = now_ms - request.attempted_ms;
                 let left_ms = self.scenario.first_event_ms.saturating_sub(spent_ms) as f64;
                 let busy = running as f64 / slots as f64;
                 self.admissions[gateway].decide(objective, left_ms, busy, Millis(now_ms))
@@ -371,7 +377,8 @@
         }
     }
 
-    /// Whether the next pass stays within a part of what may be added to the shortest one.
+    /// Admits a request if the next pass adds at most this fraction of the time that the objective
+    /// of the pause leaves above the shortest pass.
     fn decision_by_pass_length(&self, fraction: f64, now_ms: u64) -> Decision {
         let Some(group) = self.least_loaded_group(now_ms) else {
             return Decision::Refused(Millis(MAX_RETRY_AFTER_MS));
@@ -397,7 +404,7 @@
         self.retries.push(request);
     }
 
-    /// The group with the fewest streams of those that make passes.
+    /// The group with the fewest streams among those that are not stalled.
     fn least_loaded_group(&self, now_ms: u64) -> Option<usize> {
         let open = (0..self.groups.len()).filter(|group| !self.is_stalled(*group, now_ms));
         open.min_by_key(|group| self.groups[*group].streams())
@@ -416,8 +423,8 @@
             request,
             gateway,
             admitted_ms: now_ms,
-            left: request.events,
-            begun: false,
+            events_left: request.events,
+            has_first_event: false,
             in_time: !request.is_retry,
         };
         let ranks = &mut self.groups[group].ranks;
@@ -427,11 +434,11 @@
         }
     }
 
-    /// Lets in those that wait at gateways, as far as there is room or their time is over.
+    /// Admits requests that wait at gateways, if there is room or their wait has ended.
     fn admit_waiting(&mut self, now_ms: u64) {
         let objective = self.objective();
         for gateway in 0..self.waiting.len() {
-            self.waiting[gateway].sort_by_key(|(request, _)| Reverse(request.asked_ms));
+            self.waiting[gateway].sort_by_key(|(request, _)| Reverse(request.arrived_ms));
             while let Some((request, until)) = self.waiting[gateway].last().copied() {
                 if until > now_ms && !self.admissions[gateway].has_room(objective, Millis(now_ms)) {
                     break;
@@ -476,7 +483,7 @@
         }
     }
 
-    /// Every stream that runs gets an event.
+    /// Gives each running stream an event.
     fn end_pass(&mut self, group: usize, length_ms: f64, now_ms: u64) {
         self.passes += 1;
         self.outcome.pass_ms += length_ms;
@@ -488,44 +495,44 @@
         for rank in &mut self.groups[group].ranks {
             for stream in &mut rank.running {
                 let admission = &mut self.admissions[stream.gateway];
-                if stream.begun {
+                if stream.has_first_event {
                     stream.in_time &= !is_long;
                     admission.record_pass(length_ms, now);
                 } else {
-                    stream.begun = true;
-                    stream.in_time &= now_ms - stream.request.asked_ms <= first_event_ms;
+                    stream.has_first_event = true;
+                    stream.in_time &= now_ms - stream.request.arrived_ms <= first_event_ms;
                     admission.record_first_event((now_ms - stream.admitted_ms) as f64);
                 }
-                stream.left -= 1;
-                if stream.left == 0 {
+                stream.events_left -= 1;
+                if stream.events_left == 0 {
                     admission.ended(Some((now_ms - stream.admitted_ms) as f64));
                     self.outcome.in_time += u32::from(stream.in_time);
                     self.outcome.late += u32::from(!stream.in_time);
                 }
             }
-            rank.running.retain(|stream| stream.left > 0);
+            rank.running.retain(|stream| stream.events_left > 0);
         }
     }
 
-    /// Callers whose streams have not begun leave after a while, and come back once.
+    /// Ends the attempts of callers that have no first event within the timeout; each retries once.
     fn time_out_callers(&mut self, group: usize, now_ms: u64) {
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         for rank in &mut self.groups[group].ranks {
             for streams in [&mut rank.running, &mut rank.waiting] {
                 streams.retain(|stream| {
-                    let stays =
-                        stream.begun || now_ms - stream.request.tried_ms < CALLER_TIMEOUT_MS;
+                    let stays = stream.has_first_event
+                        || now_ms - stream.request.attempted_ms < CALLER_TIMEOUT_MS;
                     if !stays {
-                        gone.push(*stream);
+                        expired.push(*stream);
                     }
                     stays
                 });
             }
         }
-        for stream in gone {
+        for stream in expired {
             self.admissions[stream.gateway].ended(None);
             if stream.request.is_retry {
-                self.outcome.left += 1;
+                self.outcome.timed_out += 1;
             } else {
                 self.refuse(stream.request, Millis(STEP_MS), now_ms);
             }
--- a/crates/bench/src/emulator_report.rs
+++ b/crates/bench/src/emulator_report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench emulate` prints.
+//! Report of `hooktrestle-bench emulate`. Input: the scenarios and policies of the simulator. It
+//! holds no state. Prints the mean results over several seeds.
 
 use hooktrestle_bench::emulator::Outcome;
 use hooktrestle_bench::emulator::Policy;
@@ -7,10 +8,10 @@
 use hooktrestle_bench::emulator::simulate;
 use hooktrestle_core::direct::admission;
 
-/// Arrivals that each scene is played with.
+/// Number of seeds with which each scenario is simulated.
 const SEEDS: u64 = 4;
 
-/// Prints every scene under every policy.
+/// Prints the results of each scenario with each policy.
 pub(crate) fn print() {
     println!(
         "{:<28} {:<14} {:>6} {:>8} {:>6} {:>8} {:>6} {:>8} {:>10}",
@@ -49,7 +50,7 @@
         share(|one| one.in_time),
         share(|one| one.late),
         share(|one| one.refused),
-        share(|one| one.left),
+        share(|one| one.timed_out),
         mean(|one| one.pass_ms),
         mean(|one| one.last_long_ms as f64 / 1_000.0),
     );
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,18 +1,20 @@
-//! Measurements of hooktrestle, each against a naive version in the same run.
+//! Measurements of hooktrestle, each compared with a baseline in the same run. Input: seeds, sizes
+//! and recorded counts. State: that of one measurement.
 //!
-//! - [`demand`]: seeded demand for experts over a day.
-//! - [`placement`]: which expert stands on which rank: skew against moved bytes.
-//! - [`plans`]: the same where every copy has a price, on the users' platform: time and gain.
-//! - [`routing`]: which backend server gets a request.
-//! - [`control`]: what control costs a node.
-//! - [`emulator`]: groups in lock-step with callers that wait, leave and come back.
-//! - [`load`]: what one gateway process bears on the users' platform.
-//! - [`path`]: what the path adds to a call.
-//! - [`switch`]: what a switch of maps holds up, and how soon a configuration is in force.
+//! - [`counts`]: reader of recorded token counts.
+//! - [`demand`]: generated demand for experts.
+//! - [`placement`]: placement of experts on ranks: skew against moved bytes.
+//! - [`plans`]: placement with a cost for each copy, on the users' platform: time and gain.
+//! - [`routing`]: choice of the backend server of a request.
+//! - [`emulator`]: admission to groups in lock-step whose callers wait, time out and retry.
+//! - [`control`]: cost of the control traffic of a node.
+//! - [`load`]: load that one gateway process can serve on the users' platform.
+//! - [`path`]: latency that gateway and sidecar add to a call.
+//! - [`switch`]: steps that a switch of maps holds, and time until a configuration is in force.
 //!
-//! The decisions are driven directly, without clock or sockets: the same figures on every run but for
-//! those that are times. The last four run the real
-//! processes.
+//! Placement, plans, routing and admission are called directly, without clock or sockets, so that
+//! figures other than run times are the same on every run. The last four modules run real gateways
+//! and sidecars.
 
 pub mod control;
 pub mod counts;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,9 +1,12 @@
-//! What one gateway process bears: requests and streams over loopback, before a stand-in server.
+//! Load measurement of one gateway process. Input: request rates and a number of streams. State:
+//! the gateway process and a stand-in server, on loopback. Measures latency, failures, processor
+//! time and memory.
 //!
-//! Requests are sent at set times, whatever became of those before (open loop). Where the sender itself
-//! is late, the time counts from when a request was due, so that a stall is felt by all that were due
-//! in it (the correction for coordinated omission). The same is sent straight to the server in the same
-//! run. The processor's time is the gateway's own, as the kernel counts it.
+//! Requests are sent at fixed times, independent of earlier responses (open loop). If the sender is
+//! late, latency counts from the time at which the request was due, so that a stall affects all
+//! requests that were due in it (correction for coordinated omission). The same requests are sent
+//! directly to the server in the same run. Processor time is that of the gateway process, as the
+//! kernel counts it.
 
 use std::fs;
 use std::path::Path;
@@ -31,57 +34,57 @@
 use tokio::time;
 use tokio::time::Instant;
 
-/// Time between two ticks of the timer: a sender that is late by less is not late.
+/// Resolution of the timer: a smaller delay of the sender does not count as late.
 const TIMER_TICK: Duration = Duration::from_millis(1);
 
-/// How long callers wait.
+/// Deadline of the callers' requests.
 const DEADLINE_MS: u64 = 3_000;
 
 /// Time between two events of a stream.
 const EVENT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What is measured.
+/// Parameters of the measurement.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The gateway's program.
+    /// Program of the gateway.
     pub program: PathBuf,
-    /// Folder for its settings and log.
+    /// Folder of the gateway's settings and log.
     pub folder: PathBuf,
-    /// Requests a second, one series each.
+    /// Requests a second, with one series for each rate.
     pub rates_per_s: Vec<u32>,
-    /// Length of a series.
+    /// Length of each series.
     pub series: Duration,
     /// Streams that are open at once.
     pub streams: u32,
-    /// Events of each.
+    /// Events of each stream.
     pub events: u32,
 }
 
-/// One series of requests.
+/// Results of one series of requests.
 #[derive(Debug)]
 pub struct Series {
     /// Requests a second.
     pub rate_per_s: u32,
-    /// Microseconds straight to the server.
+    /// Latency of requests that are sent directly to the server.
     pub direct_us: Histogram<u64>,
-    /// Microseconds through the gateway.
+    /// Latency of requests through the gateway.
     pub through_us: Histogram<u64>,
-    /// The gateway's processor time for a request, in microseconds.
+    /// Processor time of the gateway for each request.
     pub processor_us: f64,
-    /// Requests without a whole answer, either way.
+    /// Requests without a complete answer, both direct and through the gateway.
     pub failed: u32,
 }
 
-/// Streams that were open at once.
+/// Results of the streams that were open at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Streams {
-    /// How many.
+    /// Number of streams.
     pub count: u32,
-    /// Of them, those that came whole.
+    /// Streams that were complete.
     pub whole: u32,
-    /// The gateway's memory for an open stream, in bytes.
+    /// Memory of the gateway for each open stream, in bytes.
     pub bytes: f64,
-    /// The gateway's processor time for an event, in microseconds.
+    /// Processor time of the gateway for each event.
     pub processor_us: f64,
 }
 
@@ -89,7 +92,7 @@
 ///
 /// # Errors
 ///
-/// The gateway cannot be started or does not serve; what the kernel tells of it cannot be read.
+/// The gateway cannot be started or is not ready, or the kernel's counters of it cannot be read.
 pub fn measure(config: &Config) -> Result<(Vec<Series>, Streams)> {
     fs::create_dir_all(&config.folder)?;
     let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -109,14 +112,14 @@
     let client = Client::new();
     let ready_deadline = Instant::now() + Bounds::default().recovery;
     while !caller::is_ready(&client, gateway.at.readiness).await {
-        ensure!(Instant::now() < ready_deadline, "the gateway is not ready");
+        ensure!(Instant::now() < ready_deadline, "the gateway is not ready in time");
         time::sleep(TIMER_TICK).await;
     }
     let process = Process(gateway.process_id().ok_or_else(|| eyre!("the gateway has ended"))?);
     let (direct, through) = (server.address, gateway.at.callers);
     let mut all = Vec::new();
     for rate_per_s in &config.rates_per_s {
-        // Connections are opened before it counts.
+        // Warm-up: opens connections before the measurement.
         send(through, *rate_per_s, Duration::from_secs(1)).await?;
         let (direct_us, failed_direct) = send(direct, *rate_per_s, config.series).await?;
         let before = process.processor()?;
@@ -136,7 +139,7 @@
     Ok((all, streams))
 }
 
-/// Sends requests at set times; how long they took, and how many failed.
+/// Sends requests at fixed times; returns their latencies and the number of failures.
 async fn send(
     to: std::net::SocketAddr,
     rate_per_s: u32,
@@ -168,9 +171,9 @@
     Ok((times_us, failed))
 }
 
-/// Opens streams one after the other, a tick apart, and reads them to their ends. Opened at the same
-/// moment, the server's one thread could not accept all their connections within the time that a gateway
-/// waits for one.
+/// Opens streams one after the other, a tick apart, and reads them to the end. If all were opened
+/// at once, the server's only thread could not accept their connections within the gateway's
+/// connect timeout.
 async fn stream(config: &Config, to: std::net::SocketAddr, process: &Process) -> Result<Streams> {
     let client = Client::new();
     let (memory_before, processor_before) = (process.memory_bytes()?, process.processor()?);
@@ -179,11 +182,11 @@
     for number in 0..config.streams {
         let id = format!("stream-{number}");
         let request = caller::request(&client, to, &path, &id, 60 * DEADLINE_MS);
-        // One that breaks off has no whole events, and is seen by that.
+        // A failed stream counts as one without events, and therefore as incomplete.
         open.push(task::spawn_local(async move { events(request).await.unwrap_or_default() }));
         time::sleep(TIMER_TICK).await;
     }
-    // All are open in the middle of their events.
+    // All streams are open here, in the middle of their events.
     time::sleep(EVENT_PAUSE * config.events / 2).await;
     let memory = process.memory_bytes()?.saturating_sub(memory_before);
     let mut whole = 0;
@@ -200,7 +203,7 @@
     })
 }
 
-/// How many whole events came.
+/// Number of complete events received.
 async fn events(request: reqwest::RequestBuilder) -> Result<u32> {
     let mut pieces = request.send().await?.bytes_stream();
     let (mut ends, mut last) = (0, b' ');
@@ -213,14 +216,14 @@
     Ok(ends)
 }
 
-/// A process, as the kernel tells of it.
+/// ID of a process, whose counters are read from the kernel.
 struct Process(u32);
 
 impl Process {
-    /// Processor time that all its threads have spent.
+    /// Processor time of all threads of the process.
     fn processor(&self) -> Result<Duration> {
         let proc_file = self.proc_file("stat")?;
-        // Behind the name, which may hold blanks.
+        // The fields after the name, which may contain spaces.
         let fields = proc_file.rsplit(')').next().unwrap_or_default();
         let ticks: Vec<u64> =
             fields.split_whitespace().skip(11).take(2).map(str::parse).collect::<Result<_, _>>()?;
@@ -228,12 +231,15 @@
         Ok(Duration::from_secs(ticks.iter().sum::<u64>()) / u32::try_from(a_second)?)
     }
 
-    /// Memory that it has now.
+    /// Resident memory of the process.
     fn memory_bytes(&self) -> Result<u64> {
         let proc_file = self.proc_file("status")?;
         let line = proc_file.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().next());
-        Ok(kilobytes.ok_or_else(|| eyre!("no VmRSS"))?.parse::<u64>()? * 1_024)
+        Ok(kilobytes
+            .ok_or_else(|| eyre!("the status of the process has no VmRSS"))?
+            .parse::<u64>()?
+            * 1_024)
     }
 
     fn proc_file(&self, file: &str) -> Result<String> {
--- a/crates/bench/src/load_report.rs
+++ b/crates/bench/src/load_report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench load` prints.
+//! Report of `hooktrestle-bench load`. Input: the program of the gateway. It holds no state. Prints
+//! the latencies of each series, and the cost of requests and streams.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,7 +9,7 @@
 use hooktrestle_bench::load::Config;
 use hooktrestle_soak::fleet;
 
-/// Microseconds of a core in a second.
+/// Microseconds of processor time of one core in a second.
 const CORE_US: f64 = 1_000_000.0;
 
 /// Measures and prints.
@@ -19,7 +20,7 @@
         rates_per_s: vec![100, 400, 1_600],
         series: Duration::from_secs(10),
         streams: 400,
-        // Two seconds, half of what the route allows.
+        // Streams of two seconds, half of the time that the route allows.
         events: 100,
     };
     let (all, streams) = load::measure(&config)?;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,5 @@
-//! `hooktrestle-bench`: measurements, each against a naive version in the same run.
+//! `hooktrestle-bench`: measurements, each compared with a baseline in the same run. Input: the
+//! command line. It holds no state. Runs one measurement and prints its report.
 
 mod control_report;
 mod emulator_report;
@@ -15,9 +16,9 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Measurements of hooktrestle, each against a naive version in the same run.
+        /// Measurements of hooktrestle, each compared with a baseline in the same run.
         cmd hooktrestle-bench {
-            /// Which expert stands on which rank: skew against moved bytes.
+            /// Placement of experts on ranks: skew against moved bytes.
             cmd placement {
                 /// Seed of the demand (default 20261202).
                 optional --seed n: u64
@@ -34,24 +35,25 @@
                 /// One JSON object for each policy (with --counts).
                 optional --json
             }
-            /// Plans of where experts go on the users' platform: how long one takes, and its gain.
+            /// Placement plans on the users' platform: time of a plan and its gain.
             cmd plans {}
-            /// Who is let in while groups are overloaded or stand still, in simulated time.
+            /// Admission while groups are overloaded or stalled, in simulated time.
             cmd emulate {}
-            /// Time to the first token under different ways to choose a backend server.
+            /// Time to the first token with different policies of choosing a backend server.
             cmd routing {}
-            /// What control costs a node, and at the size aimed at.
+            /// Cost of the control traffic of a node, also at the target size.
             cmd control {}
-            /// What the path adds to a call, against direct calls.
+            /// Latency that gateway and sidecar add to a call, compared with direct calls.
             cmd path {}
-            /// What one gateway process on the users' platform bears: requests and streams over loopback.
+            /// Load of one gateway process on the users' platform: requests and streams over
+            /// loopback.
             cmd load {
-                /// The gateway's program; the one beside this program if left out.
+                /// The gateway's program; by default the one in the folder of this program.
                 optional --program file: PathBuf
             }
-            /// Steps that a switch of expert maps holds up.
+            /// Steps that a switch of expert maps holds.
             cmd switch {}
-            /// Time from an operator's write to in force everywhere.
+            /// Time from an operator's write until it is in force in all processes.
             cmd config {}
         }
     }
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,4 +1,6 @@
-//! What the path adds to a call: direct and through it in the same run.
+//! Latency and throughput of calls, sent directly to a backend server and through gateway and
+//! sidecar. It has no input. State: a fleet with one server of each kind. Both ways are measured in
+//! the same run.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,29 +16,29 @@
 use hooktrestle_fakes::engine::Behaviour;
 use serde_json::json;
 
-/// Calls one after the other, for latency.
+/// Number of sequential calls for the latency measurement.
 const LATENCY_CALLS: usize = 2_000;
 
-/// Streams at once, and tokens of each, for throughput.
+/// Number of concurrent streams, and tokens of each, for the throughput measurement.
 const STREAMS: usize = 64;
 const STREAM_TOKENS: u64 = 500;
 
 const KEY: &str = "bench-key";
 
-/// One way to the backend server.
+/// Measurements of one way to the backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct PathTimes {
     /// Median time to the first byte, in microseconds.
     pub first_p50_us: u64,
-    /// 99th of 100.
+    /// 99th percentile of the time to the first byte, in microseconds.
     pub first_p99_us: u64,
     /// Streamed tokens a second.
     pub tokens_per_s: f64,
-    /// Calls a second, one after the other.
+    /// Sequential calls a second.
     pub calls_per_s: f64,
 }
 
-/// Measures both ways: direct, then through the path.
+/// Measures calls that are sent directly, then calls through gateway and sidecar.
 ///
 /// # Errors
 ///
@@ -74,7 +76,7 @@
         let sent = Instant::now();
         let response = call(number).send().await?;
         first.record(u64::try_from(sent.elapsed().as_micros())?)?;
-        ensure!(response.status().is_success(), "a call got {}", response.status());
+        ensure!(response.status().is_success(), "a call failed with status {}", response.status());
         response.bytes().await?;
     }
     let calls_per_s = LATENCY_CALLS as f64 / start.elapsed().as_secs_f64();
--- a/crates/bench/src/placement.rs
+++ b/crates/bench/src/placement.rs
@@ -1,4 +1,6 @@
-//! Skew against moved bytes: ours, the layout left alone, and packed anew each interval.
+//! Placement measurement: skew against moved bytes. Input: demand in ticks, and a policy. State:
+//! the layout and the estimate of popularity. Compares the planner of `hooktrestle_core` with a
+//! static layout and with a full repack in each interval.
 
 use std::time::Instant;
 
@@ -15,30 +17,30 @@
 use crate::demand::TICK_S;
 use crate::demand::Tick;
 
-/// Bytes of one expert's weights in one layer: what one load moves.
+/// Bytes of one expert's weights in one layer, which one load moves.
 pub const EXPERT_BYTES: f64 = 44e6;
 
-/// Step time lost to one load, in milliseconds: 44 MB at 2.2 GB/s, for which the
-/// rank that loads holds up the others.
+/// Step time lost to one load, in milliseconds: 44 MB at 2.2 GB/s. The rank that loads holds the
+/// other ranks for this time.
 pub const LOAD_MS: f64 = 20.0;
 
-/// Longest time that popularity is expected to last.
+/// Maximum time for which popularity is expected to remain stable.
 const MAX_POPULARITY_LIFETIME_MS: f64 = 15.0 * 60.0 * 1000.0;
 
-/// Part of the time in which a group steps, so that a shorter step saves time.
+/// Fraction of the time in which a group steps, so that a shorter step saves time.
 const BUSY_FRACTION: f64 = 0.8;
 
 /// Ticks between two full repacks: a minute.
 const REPACK_TICKS: usize = 60 / TICK_S as usize;
 
-/// Ticks at the beginning that do not count for skew: no policy knows anything yet, and a group
-/// begins once in its life. Their moves do count.
+/// Ticks at the start that do not count for skew: no policy has counts yet, and a group starts only
+/// once. Moves in these ticks count.
 const WARM_UP_TICKS: usize = 12;
 
-/// Most loads that one plan asks for.
+/// Maximum number of loads in one plan.
 const MAX_LOADS_PER_PLAN: usize = 96;
 
-/// Size of the group and its layer.
+/// Size of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct Group {
     /// Ranks.
@@ -50,37 +52,37 @@
 /// The operator's two weights.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// Of step time lost to the slowest rank.
+    /// Weight of step time lost to the slowest rank.
     pub skew: f64,
-    /// Of step time lost to moving experts.
+    /// Weight of step time lost to moving experts.
     pub rebalance: f64,
 }
 
-/// Kivuko weighs skew more.
+/// Weights of Kivuko, which prefers low skew.
 pub const KIVUKO: Weights = Weights { skew: 1.0, rebalance: 1.0 };
 
-/// Kettle Pond weighs rebalancing cost more.
+/// Weights of Kettle Pond, which prefers low rebalancing cost.
 pub const KETTLE_POND: Weights = Weights { skew: 1.0, rebalance: 96.0 };
 
-/// What decides the layout.
+/// Policy that decides the layout.
 #[derive(Clone, Copy, Debug)]
 pub enum Policy {
-    /// The first layout stays.
+    /// Keeps the first layout.
     Static,
-    /// Everything is packed anew each minute.
+    /// Packs all experts again every minute.
     Repack,
-    /// Ours.
+    /// The planner of `hooktrestle_core`.
     Planned(Weights),
 }
 
-/// What a policy came to over all ticks.
+/// Results of a policy over all ticks.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Slowest rank over mean, for each tick.
+    /// Load of the slowest rank over the mean, for each tick.
     pub skews: Vec<f64>,
-    /// The same of the lower bound.
+    /// Lower bound of the skew, for each tick.
     pub bounds: Vec<f64>,
-    /// Slowest less fastest rank, over the mean, for each tick.
+    /// Load of the slowest rank less that of the fastest, over the mean, for each tick.
     pub spreads: Vec<f64>,
     /// Weights loaded.
     pub moves: usize,
@@ -112,7 +114,7 @@
         self.moves as f64 * LOAD_MS
     }
 
-    /// What the operator's weights make of it: milliseconds lost to the slowest rank and to moves.
+    /// Milliseconds lost to the slowest rank and to moves, with the operator's weights.
     pub fn cost(&self, weights: Weights) -> f64 {
         let tick_ms = (TICK_S * 1000) as f64 * BUSY_FRACTION;
         let slow: f64 = self.skews.iter().map(|skew| (skew - 1.0) * tick_ms).sum();
@@ -124,7 +126,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// The value below which this part of the values lies.
+/// The value below which this fraction of the values lies.
 pub fn quantile(values: &[f64], fraction: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -132,7 +134,7 @@
     sorted.get((fraction * last as f64).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// The configuration of the planner for an operator's weights.
+/// Configuration of the planner with an operator's weights.
 pub fn config(weights: Weights) -> Config {
     Config {
         weight_skew: weights.skew * BUSY_FRACTION,
@@ -204,8 +206,8 @@
     (0..count).map(|_| demand.next_tick()).collect()
 }
 
-/// Time of one whole decision, in milliseconds: estimate and plan for all layers, in the middle of
-/// a turnover. The worst of some decisions, since each has to fit.
+/// Longest time of a decision, in milliseconds: estimate and plan for all layers, over 200 ticks
+/// with one turnover. The maximum counts, since each decision must be fast enough.
 pub fn decide_ms(group: Group, config: demand::Config, layers: usize, weights: Weights) -> f64 {
     let mut demands: Vec<Demand> = (0..layers as u64)
         .map(|layer| Demand::new(demand::Config { seed: config.seed + layer, ..config }))
@@ -231,7 +233,7 @@
             }
         }
         let took_ms = start.elapsed().as_secs_f64() * 1e3;
-        // The first decisions start from nothing, which happens once in a group's life.
+        // The first decisions have no estimate yet, which occurs only at a group's start.
         if tick > 20 {
             worst = worst.max(took_ms);
         }
--- a/crates/bench/src/plans.rs
+++ b/crates/bench/src/plans.rs
@@ -1,5 +1,6 @@
-//! Plans of where experts go on the users' platform: how long one takes, and what it is worth,
-//! against experts that stay dealt out in turn.
+//! Measurement of placement plans on the users' platform. Input: the shape of a group and a seed.
+//! State: the holders of each set's experts. Measures the time of a plan, and the skew after some
+//! switches compared with round-robin placement.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,23 +15,23 @@
 /// Exponent of the power law of popularity.
 const ZIPF_EXPONENT: f64 = 0.9;
 
-/// Part of the mean load that one copy has to gain; what the leader uses.
+/// Gain that one copy must bring, as a fraction of the mean load. The leader uses the same value.
 const COPY_COST: f64 = 0.06;
 
-/// How long the rank that is slow takes, over the usual time.
+/// Time of the slow rank, relative to the other ranks.
 const SLOW_RANK_PACE: f64 = 5.0;
 
-/// Switches after which the skew is told: about 2 s at the users.
+/// Number of switches after which the skew is measured: about 2 s on the users' deployments.
 const SWITCHES: usize = 4;
 
-/// A group's shape.
+/// Shape of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     /// Ranks of the group.
     pub ranks: usize,
     /// Experts in each set.
     pub experts: usize,
-    /// Experts of a set that a rank holds at most.
+    /// Maximum number of experts of a set that a rank holds.
     pub places: usize,
     /// Sets of layers.
     pub sets: usize,
@@ -38,18 +39,18 @@
     pub one_slow: bool,
 }
 
-/// What plans for a shape cost and gain.
+/// Time and gain of the plans for a shape.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     /// Mean time of a plan for all sets.
     pub plan: Duration,
-    /// Mean skew of the sets with experts dealt out in turn.
+    /// Mean skew of the sets with round-robin placement.
     pub initial: f64,
-    /// The same after some switches.
+    /// Mean skew of the sets after the switches.
     pub planned: f64,
 }
 
-/// Plans some switches of a group, one copy a rank and set each.
+/// Plans some switches of a group, each with at most one copy for each rank and set.
 pub fn measure(shape: Shape, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let limits = limits(&shape);
@@ -68,7 +69,7 @@
     Outcome { plan, initial: skew(&initial), planned: skew(&layout) }
 }
 
-/// Bounds of one plan: a copy a rank, at the paces of the shape's ranks.
+/// Limits of one plan: one new expert for each rank, and the paces of the shape's ranks.
 fn limits(shape: &Shape) -> Limits {
     let mut paces = vec![1.0; shape.ranks];
     if shape.one_slow {
@@ -82,14 +83,14 @@
     }
 }
 
-/// Mean skew of the sets of a layout, each under its own demand.
+/// Mean skew of the sets of a layout, each with its demand.
 fn mean_skew(layout: &[Vec<Holders>], demands: &[Vec<f64>], paces: &[f64]) -> f64 {
     let each = layout.iter().zip(demands);
     let sum: f64 = each.map(|(holders, shares)| expert_plan::skew(holders, shares, paces)).sum();
     sum / layout.len() as f64
 }
 
-/// How popular each expert of a set is: a power law, in an order that is drawn.
+/// Popularity of each expert of a set: a power law, in random order.
 fn popularity(experts: usize, rng: &mut ChaCha8Rng) -> Vec<f64> {
     let mut shares: Vec<f64> =
         (1..=experts).map(|place| (place as f64).powf(-ZIPF_EXPONENT)).collect();
--- a/crates/bench/src/plans_report.rs
+++ b/crates/bench/src/plans_report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench plans` prints.
+//! Report of `hooktrestle-bench plans`. Input: the shapes below. It holds no state. Prints the time
+//! and the skew of the plans for each shape.
 
 use hooktrestle_bench::plans::Shape;
 use hooktrestle_bench::plans::measure;
@@ -6,8 +7,8 @@
 /// Seed of the demand.
 const SEED: u64 = 20_261_202;
 
-/// The users' deployments today and next, and the size aimed at: ranks of a group, experts in each set,
-/// experts of a set that a rank holds at most, sets of layers.
+/// Shapes of the users' current and next deployments, and of the target size: ranks of a group,
+/// experts in each set, maximum number of experts of a set on a rank, sets of layers.
 const SHAPES: [(usize, usize, usize, usize); 6] = [
     (8, 64, 11, 6),
     (32, 128, 5, 12),
@@ -17,7 +18,7 @@
     (256, 256, 3, 16),
 ];
 
-/// Prints a row for each shape, with all ranks alike and with one that is slow.
+/// Prints two rows for each shape: with equally fast ranks, and with one slow rank.
 pub(crate) fn print() {
     println!(
         "{:>5} {:>7} {:>6} {:>4} {:>8} {:>9} {:>7} {:>8}",
--- a/crates/bench/src/process_report.rs
+++ b/crates/bench/src/process_report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench path`, `switch` and `config` print.
+//! Reports of `hooktrestle-bench path`, `switch` and `config`. Input: the measurements. They hold
+//! no state. Each prints a table or one line.
 
 use eyre::Result;
 use hooktrestle_bench::path;
@@ -7,10 +8,11 @@
 use hooktrestle_bench::switch::Fault;
 use tokio::runtime::Runtime;
 
-/// Configurations that are timed.
+/// Number of configurations whose time is measured.
 const CONFIG_ROUNDS: u32 = 30;
 
-/// Prints direct calls, calls through the path, and their ratio.
+/// Prints the measurements of direct calls and of calls through gateway and sidecar, and their
+/// ratios.
 pub(crate) fn path() -> Result<()> {
     let [direct, through] = Runtime::new()?.block_on(path::measure())?;
     println!("way      first byte p50 us   p99 us   calls/s   streamed tokens/s");
@@ -32,7 +34,7 @@
     Ok(())
 }
 
-/// Prints steps run and held under each trouble.
+/// Prints the steps that ran and were held with each fault.
 pub(crate) fn switch() -> Result<()> {
     println!("trouble        steps   held  maps  steps with a fault");
     for fault in [Fault::None, Fault::FailedLoads, Fault::Restarts] {
@@ -49,7 +51,7 @@
     Ok(())
 }
 
-/// Prints times from a write to in force.
+/// Prints the times from a write until it is in force.
 pub(crate) fn config() -> Result<()> {
     let times_s = Runtime::new()?.block_on(switch::in_force(CONFIG_ROUNDS))?;
     let at = |fraction: f64| times_s[((times_s.len() - 1) as f64 * fraction).round() as usize];
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench placement` prints.
+//! Report of `hooktrestle-bench placement`. Input: a seed or a file of counts. It holds no state.
+//! Prints the results of each policy, as tables or JSON.
 
 use std::path::Path;
 
@@ -21,19 +22,19 @@
 
 use crate::flags::Placement;
 
-/// Two hours: four turnovers of the hot set, and several themes.
+/// Two hours, with three turnovers of the popular experts and several themes.
 const TICKS: usize = 720;
 
-/// Layers of the model at the size aimed at.
+/// Layers of the model at the target size.
 const LAYERS: usize = 58;
 
-/// The size aimed at: 64 ranks, 256 experts a layer, one spare slot a rank.
+/// Target size: 64 ranks, 256 experts a layer, one spare slot a rank.
 const TARGET: Group = Group { ranks: 64, slots: 5 };
 
-/// Today: 16 ranks; 64 experts a layer.
-const TODAY: Group = Group { ranks: 16, slots: 5 };
+/// Current size: 16 ranks, 64 experts a layer.
+const CURRENT: Group = Group { ranks: 16, slots: 5 };
 
-/// Weights between the two users', and beyond.
+/// The weights of the two users, some between them, and some beyond them.
 const CURVE: [Weights; 7] = [
     Weights { skew: 16.0, rebalance: 1.0 },
     Weights { skew: 2.0, rebalance: 1.0 },
@@ -48,7 +49,7 @@
 pub(crate) fn seeded(seed: u64) {
     let mut skew_ratio: f64 = 0.0;
     let mut moved_ratio: f64 = 0.0;
-    for (name, group, experts) in [("today", TODAY, 64), ("target", TARGET, 256)] {
+    for (name, group, experts) in [("today", CURRENT, 64), ("target", TARGET, 256)] {
         for zipf in [0.6, 0.9] {
             let config = demand_config(experts, zipf, seed);
             let ticks = ticks(config, TICKS);
@@ -73,13 +74,13 @@
 }
 
 fn demand_config(experts: usize, zipf: f64, seed: u64) -> demand::Config {
-    // 20,000 tokens a second and 8 experts for each at 64 ranks.
+    // 20,000 tokens a second with 8 experts each, at 64 ranks.
     let tokens_per_tick = 160_000.0 * demand::TICK_S as f64 * experts as f64 / 256.0;
     demand::Config { experts, zipf, tokens_per_tick, seed }
 }
 
-/// Prints one table; returns the skew-weighted policy's skew over the bound, and the
-/// cost-weighted one's bytes over full repack's.
+/// Prints one table. Returns the skew over its lower bound with Kivuko's weights, and the moved
+/// bytes relative to a full repack with Kettle Pond's weights.
 fn table(group: Group, ticks: &[Tick]) -> (f64, f64) {
     println!(
         "  {:<22} {:>6} {:>6} {:>6} {:>6} {:>7} {:>8} {:>9} {:>9} {:>8}",
@@ -91,22 +92,22 @@
     line("full repack a minute", &repack);
     let (mut skew_ratio, mut moved_ratio) = (f64::NAN, f64::NAN);
     for weights in CURVE {
-        let ours = run(Policy::Planned(weights), group, ticks);
-        line(&format!("planned {}:{}", weights.skew, weights.rebalance), &ours);
-        let moved = ours.bytes() / repack.bytes();
-        let way =
-            (ours.skew_mean() - repack.skew_mean()) / (fixed.skew_mean() - repack.skew_mean());
+        let planned = run(Policy::Planned(weights), group, ticks);
+        line(&format!("planned {}:{}", weights.skew, weights.rebalance), &planned);
+        let moved = planned.bytes() / repack.bytes();
+        let toward_static =
+            (planned.skew_mean() - repack.skew_mean()) / (fixed.skew_mean() - repack.skew_mean());
         println!(
             "  {:<22} moved {moved:.4} of full repack's; {:.1}% of the way to static; cost {:.0} \
              (static {:.0}, repack {:.0})",
             "",
-            way * 100.0,
-            ours.cost(weights),
+            toward_static * 100.0,
+            planned.cost(weights),
             fixed.cost(weights),
             repack.cost(weights)
         );
         if weights.skew == KIVUKO.skew && weights.rebalance == KIVUKO.rebalance {
-            skew_ratio = ours.ratio();
+            skew_ratio = planned.ratio();
         }
         if weights.rebalance == KETTLE_POND.rebalance && weights.skew == KETTLE_POND.skew {
             moved_ratio = moved;
@@ -130,7 +131,7 @@
     );
 }
 
-/// Runs every policy on recorded counts, each known one tick late.
+/// Runs every policy on recorded counts, which arrive one tick late.
 pub(crate) fn recorded(file: &Path, flags: &Placement) -> Result<()> {
     let rows = counts::read(file)?;
     let experts = rows[0].tokens.len();
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -1,8 +1,10 @@
-//! Time to the first token under different ways to choose a backend server.
+//! Simulation of the choice of a backend server. Input: a policy, sizes and load. State: the
+//! requests at each server, and each gateway's view of them. Measures the time to the first token.
 //!
-//! Requests come at random to several gateways; each backend server runs some at once and queues
-//! the rest. Gateways see each server's load late and seldom, as its sidecar reports it, and know
-//! their own requests at once. Ours is the very function that gateways run.
+//! Requests arrive at random at several gateways. Each backend server runs some of them at once and
+//! queues the others. Gateways receive the load of each server late and at long intervals, as its
+//! sidecar reports it, but know their own requests at once. `Policy::Gateway` is the function that
+//! gateways run.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -24,22 +26,22 @@
 /// Mean time of one request, in milliseconds.
 const MEAN_RUN_MS: f64 = 400.0;
 
-/// Time between two reports of a server, and how late they are.
+/// Time between two reports of a server, and their delay.
 const REPORT_INTERVAL_MS: f64 = 1_000.0;
 const REPORT_DELAY_MS: f64 = 200.0;
 
-/// How a server is chosen.
+/// Policy of choosing a server.
 #[derive(Clone, Copy, Debug)]
 pub enum Policy {
-    /// Any.
+    /// A random server.
     Random,
-    /// One after the other, at each gateway.
+    /// Round robin at each gateway.
     RoundRobin,
-    /// The least loaded, as last reported.
+    /// The least loaded server by the last reports.
     LeastReported,
-    /// The less loaded of two, as last reported.
+    /// The less loaded of two random servers by the last reports.
     TwoReported,
-    /// Ours: turns, and reports.
+    /// The gateways' function, which uses turns and reports.
     Gateway(routing::Config),
 }
 
@@ -50,17 +52,17 @@
     pub gateways: usize,
     /// Backend servers.
     pub servers: usize,
-    /// Share of the servers' capacity that is asked for.
+    /// Demand as a fraction of the servers' capacity.
     pub load: f64,
     /// Whether one server stalls for a second of each five.
     pub stalls: bool,
     /// Simulated time in milliseconds.
     pub duration_ms: f64,
-    /// Seed of everything.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Waits for the first token, in milliseconds, sorted.
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Starts what waits, as room allows; a server that stalls starts nothing.
+    /// Starts waiting requests while the server has room; a stalled server starts none.
     fn fill(&mut self, server: usize) {
         while !self.servers[server].stalled && self.servers[server].running < MAX_RUNNING_REQUESTS {
             let Some((since_ms, gateway)) = self.servers[server].waiting.pop_front() else {
@@ -256,7 +258,8 @@
     }
 
     fn outcome(mut self) -> Outcome {
-        // What still waits at the end counts with its wait so far: a policy gains nothing by it.
+        // Requests that wait at the end count with their wait so far. Otherwise a policy would gain
+        // by leaving requests in queues.
         for server in &self.servers {
             let waits = server.waiting.iter().map(|(since_ms, _)| self.now_ms - since_ms);
             self.first_ms.extend(waits);
--- a/crates/bench/src/routing_report.rs
+++ b/crates/bench/src/routing_report.rs
@@ -1,4 +1,5 @@
-//! What `hooktrestle-bench routing` prints.
+//! Report of `hooktrestle-bench routing`. Input: the simulations of each policy. It holds no state.
+//! Prints the waits, and the gateways' p95 over that of the best baseline.
 
 use hooktrestle_bench::placement::quantile;
 use hooktrestle_bench::routing::Config;
@@ -9,7 +10,7 @@
 const BASELINES: [Policy; 4] =
     [Policy::Random, Policy::RoundRobin, Policy::LeastReported, Policy::TwoReported];
 
-/// Prints every policy at every load, and ours over the best baseline at 80%.
+/// Prints every policy at every load, and the gateways' p95 over the best baseline at 80% load.
 pub(crate) fn print() {
     let mut worst: f64 = 0.0;
     for (name, gateways, servers) in [("today", 8, 16), ("target, one service", 24, 45)] {
@@ -27,12 +28,12 @@
     println!("routing: p95_ratio_at_80={worst:.3}");
 }
 
-/// Prints a row for each policy; returns our p95 over the best baseline's.
+/// Prints a row for each policy; returns the gateways' p95 over the best baseline's.
 fn rows(config: Config) -> f64 {
     println!("  {:<14} {:>8} {:>8} {:>8} {:>8}", "policy", "p50 ms", "p95 ms", "p99 ms", "busiest");
-    let (mut best, mut found) = (f64::MAX, f64::NAN);
-    let ours = Policy::Gateway(routing::Config::default());
-    let policies = BASELINES.into_iter().chain([ours]);
+    let (mut best_p95_ms, mut gateway_p95_ms) = (f64::MAX, f64::NAN);
+    let gateway_policy = Policy::Gateway(routing::Config::default());
+    let policies = BASELINES.into_iter().chain([gateway_policy]);
     for policy in policies {
         let outcome = run(policy, config);
         let at = |fraction| quantile(&outcome.first_ms, fraction);
@@ -45,12 +46,12 @@
             outcome.busiest
         );
         if matches!(policy, Policy::Gateway(_)) {
-            found = at(0.95);
+            gateway_p95_ms = at(0.95);
         } else {
-            best = best.min(at(0.95));
+            best_p95_ms = best_p95_ms.min(at(0.95));
         }
     }
-    found / best
+    gateway_p95_ms / best_p95_ms
 }
 
 fn name(policy: Policy) -> String {
--- a/crates/bench/src/switch.rs
+++ b/crates/bench/src/switch.rs
@@ -1,4 +1,6 @@
-//! How long a switch of maps holds a group up, and how soon a configuration is in force.
+//! Measurements of map switches and of configuration changes. Input: a fault or a number of rounds.
+//! State: a fleet. Counts the steps that switches hold, and measures the time until a configuration
+//! is in force.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,24 +18,24 @@
 const EXPERTS: usize = 64;
 const SLOTS: usize = 5;
 
-/// Time that each trouble lasts.
+/// Length of the measurement with each fault.
 const MEASUREMENT: Duration = Duration::from_secs(8);
 
-/// Time between two changes of the hot set.
+/// Time between two changes of the set of popular experts.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What happens to the group while its hot set changes.
+/// Fault of a group while its popular experts change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing else.
+    /// No fault.
     None,
     /// One rank cannot load weights.
     FailedLoads,
-    /// Sidecars, the leader's among them, are killed one after the other.
+    /// Sidecars, including the leader, are killed one after the other.
     Restarts,
 }
 
-/// Runs a group of 16 ranks under a trouble; returns what it went through.
+/// Runs a group of 16 ranks with a fault; returns its steps.
 ///
 /// # Errors
 ///
@@ -75,8 +77,8 @@
     Ok(steps)
 }
 
-/// Times from an operator's write to in force in all of 8 gateways and 16 sidecars, at the default
-/// pace; sorted, in seconds.
+/// Times from an operator's write until it is in force in all of 8 gateways and 16 sidecars, with
+/// the default intervals; sorted, in seconds.
 ///
 /// # Errors
 ///
@@ -112,7 +114,7 @@
         });
         ensure!(
             tokio::time::timeout(Duration::from_secs(60), reached).await.is_ok(),
-            "60 s passed"
+            "the write is not in force within 60 s"
         );
         times_s.push(start.elapsed().as_secs_f64());
     }
--- a/crates/bench/tests/emulator.rs
+++ b/crates/bench/tests/emulator.rs
@@ -1,4 +1,8 @@
-//! Groups in lock-step with callers that come back: the collapse after a halt, and what ends it.
+//! Simulated groups in lock-step whose callers retry.
+//!
+//! Guards against a simulator that is not deterministic or loses requests, and against overload
+//! that persists after a stall: requests that retry late slow down new ones, so that those are late
+//! too.
 
 use hooktrestle_bench::emulator::Outcome;
 use hooktrestle_bench::emulator::Policy;
@@ -15,10 +19,10 @@
 #[test]
 fn a_seed_gives_the_same_figures() {
     let scenario = scenario("both, 1 of 12 ranks");
-    let ours = Policy::Gateway(admission::Config::default());
-    let [one, two] = [simulate(&scenario, ours), simulate(&scenario, ours)];
+    let gateway_policy = Policy::Gateway(admission::Config::default());
+    let [one, two] = [simulate(&scenario, gateway_policy), simulate(&scenario, gateway_policy)];
     assert_eq!((one.in_time, one.late, one.refused), (two.in_time, two.late, two.refused));
-    let other = simulate(&Scenario { seed: 1, ..scenario }, ours);
+    let other = simulate(&Scenario { seed: 1, ..scenario }, gateway_policy);
     assert_ne!((one.in_time, one.late), (other.in_time, other.late));
 }
 
@@ -27,7 +31,7 @@
     for (name, scenario) in scenarios().into_iter().filter(|(name, _)| name.starts_with("halts")) {
         let calm = Scenario { stalls: Vec::new(), ..scenario };
         let Outcome { requests, in_time, late, .. } = simulate(&calm, Policy::AdmitAll);
-        // Streams that run at the end are not counted as either.
+        // Streams that still run at the end count neither as in time nor as late.
         assert!(in_time * 20 > requests * 18, "{name}: {in_time} of {requests}, {late} late");
     }
 }
@@ -36,14 +40,14 @@
 fn every_request_ends_once_at_most() {
     for (name, scenario) in scenarios() {
         let outcome = simulate(&scenario, Policy::AdmitAll);
-        let ended = outcome.in_time + outcome.late + outcome.refused + outcome.left;
+        let ended = outcome.in_time + outcome.late + outcome.refused + outcome.timed_out;
         assert!(ended <= outcome.requests, "{name}: {outcome:?}");
         assert!(ended * 10 > outcome.requests * 8, "{name}: {outcome:?}");
     }
 }
 
-/// The backlog of a halt outlives it where everybody is let in: those that come back late make those late
-/// that come for the first time, and it ends where the first yield to the others.
+/// If all requests are admitted, the backlog of a stall persists after it: late retries make first
+/// attempts late. If retries are admitted only while there is room, the backlog ends.
 #[test]
 fn a_backlog_outlives_its_halt_unless_those_that_come_back_yield() {
     for name in ["halts, 1 of 12 ranks", "halts, 1 of 63 ranks"] {
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,7 +1,7 @@
 //! `explain` on log lines of gateways.
 //!
-//! Guards against lost or misread steps: lines of several requests and gateways are mixed, a request
-//! ID is the prefix of another, and one line is in a form that the tool cannot parse.
+//! Guards against lost or misread steps: lines of several requests and gateways are mixed, a
+//! request ID is the prefix of another, and one line is in a form that the tool cannot parse.
 
 use std::io::Write;
 use std::process::Command;
@@ -72,10 +72,10 @@
 
 #[test]
 fn programs_get_json() {
-    let found: serde_json::Value =
+    let steps: serde_json::Value =
         serde_json::from_slice(&explain(&["--json", "r1"]).stdout).unwrap();
-    assert_eq!(found.as_array().map(Vec::len), Some(3));
-    assert_eq!(found[2]["step"]["refused"]["held_ms"], 12);
+    assert_eq!(steps.as_array().map(Vec::len), Some(3));
+    assert_eq!(steps[2]["step"]["refused"]["held_ms"], 12);
 }
 
 #[test]
--- a/crates/cli/tests/status.rs
+++ b/crates/cli/tests/status.rs
@@ -1,7 +1,7 @@
 //! `status`, `set --wait` and `drain` against a running fleet.
 //!
-//! Guards against reporting a change as in force too early: before every data centre has it, when its
-//! row was left out, or when a gateway does not respond.
+//! Guards against reporting a change as in force too early: before every data centre has it, when
+//! its row was left out, or when a gateway does not respond.
 
 use std::process::Output;
 
--- a/crates/embedded/tests/configuration.rs
+++ b/crates/embedded/tests/configuration.rs
@@ -40,8 +40,8 @@
     json!({ "service": "hints", "data_centre": "dar-1", "weight": weight })
 }
 
-/// The store goes down once `entry-1` has an accepted edit. The other processes may not have read it
-/// by then, and receive it from their peers.
+/// The store goes down once `entry-1` has an accepted edit. The other processes may not have read
+/// it by then, and receive it from their peers.
 #[tokio::test]
 async fn the_store_goes_down_right_after_an_acceptance() {
     let fleet = deployment(2).await;
@@ -113,10 +113,10 @@
 async fn operators_who_race_on_a_row_lose_nothing() {
     let fleet = deployment(1).await;
     let key = "backend_server:hints-1";
-    let seen = fleet.platform.row(ROWS, key).await.unwrap().unwrap();
+    let stored = fleet.platform.row(ROWS, key).await.unwrap().unwrap();
     let write = |weight: u32| {
         let (table, key) = (ROWS.to_owned(), key.to_owned());
-        let check = RowCheck { table: table.clone(), key: key.clone(), version: seen.version };
+        let check = RowCheck { table: table.clone(), key: key.clone(), version: stored.version };
         (vec![check], vec![RowWrite { table, key, value: row(weight) }])
     };
     let (checks, writes) = write(3);
@@ -124,7 +124,7 @@
     let (checks, writes) = write(4);
     let error = fleet.platform.transact(checks, writes).await.unwrap_err();
     let conflicts = error.conflicts().expect("a conflict");
-    assert!(conflicts[0].version > seen.version);
+    assert!(conflicts[0].version > stored.version);
     assert_eq!(fleet.platform.row(ROWS, key).await.unwrap().unwrap().value, row(3));
 }
 
--- a/crates/embedded/tests/failures.rs
+++ b/crates/embedded/tests/failures.rs
@@ -1,8 +1,8 @@
 //! Responses to callers while backend servers, sidecars and gateways refuse, fail, leave or drain.
 //!
-//! Guards against a wrong verdict (`not-run` for a request that ran), a second run of a request that
-//! must run once, and truncated answers that look complete. The ledgers of the stand-in backend
-//! servers hold what really ran.
+//! Guards against a wrong verdict (`not-run` for a request that ran), a second run of a request
+//! that must run once, and truncated answers that look complete. The ledgers of the stand-in
+//! backend servers hold what really ran.
 
 mod common;
 
@@ -123,8 +123,8 @@
 #[tokio::test]
 async fn an_answer_that_breaks_off_never_looks_whole() {
     let fleet = deployment(1).await;
-    let broken = Behaviour { truncate_after_tokens: Some(5), ..Behaviour::default() };
-    fleet.engine("hints-1").set_behaviour(broken);
+    let truncated = Behaviour { truncate_after_tokens: Some(5), ..Behaviour::default() };
+    fleet.engine("hints-1").set_behaviour(truncated);
     let outcome = finish(caller(&fleet, "entry-1").chat("hints", "m", 20, true)).await.unwrap();
     let Outcome::Truncated(text) = outcome else { panic!("{outcome:?}") };
     assert!(text.contains("event: error"), "{text}");
@@ -139,8 +139,8 @@
     let first = once(caller(&fleet, "entry-1").chat("hints", "charged", 3, true), &key);
     assert!(matches!(finish(first).await.unwrap(), Outcome::Whole(_)));
     for gateway in ["entry-2", "entry-1", "entry-2"] {
-        let again = once(caller(&fleet, gateway).chat("hints", "charged", 3, true), &key);
-        let outcome = finish(again).await.unwrap();
+        let retry = once(caller(&fleet, gateway).chat("hints", "charged", 3, true), &key);
+        let outcome = finish(retry).await.unwrap();
         assert_eq!(cause(&outcome), ("may-have-run", "already-seen"));
     }
     let started = |name: &str| fleet.engine(name).ledger.entry("charged").started;
@@ -174,8 +174,8 @@
     fleet.restart_sidecar("hints-1", "dar-1").await.unwrap();
     fleet.wait_in_force(|_| true).await;
     loop {
-        let again = once(caller(&fleet, "entry-2").chat("hints", "charged", 3, true), &key);
-        let outcome = finish(again).await.unwrap();
+        let retry = once(caller(&fleet, "entry-2").chat("hints", "charged", 3, true), &key);
+        let outcome = finish(retry).await.unwrap();
         assert_eq!(outcome.verdict(), Some("may-have-run"), "{outcome:?}");
         if cause(&outcome).1 == "other-incarnation" {
             break;
--- a/crates/embedded/tests/groups.rs
+++ b/crates/embedded/tests/groups.rs
@@ -103,7 +103,8 @@
     for round in 0..6_usize {
         let shares = hot(&[round, (round + 5) % EXPERTS, (round + 9) % EXPERTS]);
         group.set_popularity(shares.clone());
-        // All sidecars are restarted in turn, so the leader is among them; each starts without state.
+        // All sidecars are restarted in turn, so the leader is among them; each starts without
+        // state.
         let name = format!("recap-{}", round % RANKS);
         fleet.restart_sidecar(&name, "hall-1").await.unwrap();
         let steps = wait_balanced(&group, &shares).await;
--- a/crates/fakes/src/app.rs
+++ b/crates/fakes/src/app.rs
@@ -33,11 +33,11 @@
     /// The address cannot be bound.
     pub async fn start(listen: SocketAddr) -> Result<FakeApp> {
         let ledger = Ledger::default();
-        let seen = ledger.clone();
+        let shared_ledger = ledger.clone();
         let routes = warp::path::full()
             .and(warp::body::stream())
             .then(move |path: warp::path::FullPath, body| {
-                let ledger = seen.clone();
+                let ledger = shared_ledger.clone();
                 async move { echo(path.as_str(), body, &ledger).await }
             })
             .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST) })
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -29,12 +29,12 @@
     /// The address cannot be bound.
     pub async fn start(listen: SocketAddr) -> Result<FakeCollector> {
         let exports = watch::Sender::new(Vec::new());
-        let kept = exports.clone();
+        let recorded = exports.clone();
         let routes = warp::post()
             .and(warp::path!("v1" / "traces"))
             .and(warp::body::bytes())
             .map(move |body: Bytes| {
-                kept.send_modify(|exports| exports.push(body));
+                recorded.send_modify(|exports| exports.push(body));
                 StatusCode::OK.into_response()
             })
             .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST) })
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,5 +1,6 @@
-//! Stand-in of a model engine with continuous batching. Input: chat requests and a behaviour. State:
-//! the ledger. It answers one token in each step, or refuses, stalls or truncates as configured.
+//! Stand-in of a model engine with continuous batching. Input: chat requests and a behaviour.
+//! State: the ledger. It answers one token in each step, or refuses, stalls or truncates as
+//! configured.
 //!
 //! Requests are `POST /v1/chat/completions` in the usual form. The content of the last message is
 //! the request's marker. Each token of the answer is the marker with a number, so that a test can
@@ -141,14 +142,14 @@
     behaviour: Arc<watch::Sender<Behaviour>>,
 ) -> impl Filter<Extract = (warp::reply::Response,), Error = Infallible> + Clone + Send + Sync + 'static
 {
-    let seen = ledger.clone();
+    let shared_ledger = ledger.clone();
     let chat = warp::post()
         .and(warp::path!("v1" / "chat" / "completions"))
         .and(warp::body::content_length_limit(BODY_LIMIT_BYTES))
         .and(warp::body::json())
         .then(move |body: Value| chat(body, ledger.clone(), behaviour.subscribe()));
     let ledger = warp::get().and(warp::path!("fake" / "ledger")).map(move || {
-        let all = seen.all();
+        let all = shared_ledger.all();
         let rows = all.into_iter().map(|(marker, entry)| {
             json!({ "marker": marker, "started": entry.started, "finished": entry.finished })
         });
@@ -249,7 +250,8 @@
             .into_response()
     }
 
-    /// The next event of a stream; `[DONE]` follows the last token and marks the answer as complete.
+    /// The next event of a stream; `[DONE]` follows the last token and marks the answer as
+    /// complete.
     async fn step(&mut self) -> std::io::Result<Option<Bytes>> {
         if self.next > self.tokens {
             return Ok(None);
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -1,6 +1,6 @@
-//! Stand-in of a group of ranks in lock-step. Input: map orders and the popularity of experts. State:
-//! the map of each rank, token counts and steps. It checks in every step that all ranks use the same
-//! map and that each expert is on a rank.
+//! Stand-in of a group of ranks in lock-step. Input: map orders and the popularity of experts.
+//! State: the map of each rank, token counts and steps. It checks in every step that all ranks use
+//! the same map and that each expert is on a rank.
 //!
 //! Each rank stores the fencing token of its orders, as an engine does that checks their sender.
 
@@ -181,9 +181,9 @@
         if maps.iter().any(|map| *map != maps[0]) {
             self.steps.faults.push(format!("step {}: {maps:?}", self.steps.run));
         }
-        let stands =
+        let is_placed =
             |expert: u16| self.members.iter().any(|member| member.experts.contains(&expert));
-        if let Some(missing) = (0..self.tokens.len()).find(|expert| !stands(*expert as u16)) {
+        if let Some(missing) = (0..self.tokens.len()).find(|expert| !is_placed(*expert as u16)) {
             self.steps.faults.push(format!("step {}: expert {missing} on no rank", self.steps.run));
         }
         self.steps.map_version = maps[0].version;
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Ledger of the requests that ran at a stand-in backend server. Input: starts and ends of requests.
-//! State: their counts by marker. Tests compare it with the responses that callers got.
+//! Ledger of the requests that ran at a stand-in backend server. Input: starts and ends of
+//! requests. State: their counts by marker. Tests compare it with the responses that callers got.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins of the systems around hooktrestle, for tests, examples and manual trials. Their input
-//! is HTTP requests and faults to simulate, such as stalls, outages and lost answers. Their state is
-//! in memory.
+//! is HTTP requests and faults to simulate, such as stalls, outages and lost answers. Their state
+//! is in memory.
 //!
 //! - [`platform`]: table service, object store and instance list.
 //! - [`engine`]: a model engine that streams an answer token by token.
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,9 +1,9 @@
-//! Types of the data that hooktrestle processes exchange with each other, with the platform and with
-//! operators. They are generated from the JSON Schema files in `schema/` and hold no state; [`range`]
-//! decides whether values are valid.
+//! Types of the data that hooktrestle processes exchange with each other, with the platform and
+//! with operators. They are generated from the JSON Schema files in `schema/` and hold no state;
+//! [`range`] decides whether values are valid.
 //!
-//! The generated code is committed, so that a build needs no generator; `cargo xtask generate` writes
-//! it again.
+//! The generated code is committed, so that a build needs no generator; `cargo xtask generate`
+//! writes it again.
 //!
 //! - Links between processes: [`Frame`] and what it holds.
 //! - The operators' table: [`ServiceRow`], [`AccountRow`], [`BackendServerRow`],
--- a/crates/schema/src/range.rs
+++ b/crates/schema/src/range.rs
@@ -1,5 +1,6 @@
-//! Checks values against the names, types, units and ranges in the schema files. Input: JSON objects
-//! and texts from INI and CSV files. State: the parsed schema. Decides whether a value is valid.
+//! Checks values against the names, types, units and ranges in the schema files. Input: JSON
+//! objects and texts from INI and CSV files. State: the parsed schema. Decides whether a value is
+//! valid.
 //!
 //! Generated types accept any number of the right width. This module reads the schema itself, so
 //! that an error names the field, its range and the most similar known name.
