--- a/crates/embedded/tests/groups.rs
+++ b/crates/embedded/tests/groups.rs
@@ -1,8 +1,8 @@
 //! A group of ranks in lock-step whose expert map the sidecars switch.
 //!
 //! Guards against a step in which two ranks use different maps or an expert is on no rank, and
-//! against a group that stalls. These arise when a rank fails to load weights, a leader is killed
-//! during a switch, or the store is down. The stand-in ranks check every step.
+//! against a group that stalls. Popular experts change, while a rank fails to load weights, leaders
+//! are killed during a switch, or the store is down. The stand-in ranks check every step.
 
 use hooktrestle_embedded::Fleet;
 use hooktrestle_fakes::group::FakeGroup;
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -1,5 +1,5 @@
 //! Stand-in of a trace collector. Input: the requests of OTLP exporters. State: their bodies, which
-//! are not decoded. It accepts every request.
+//! are not decoded. It accepts every export.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
