--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,4 +1,6 @@
-//! What the path adds to a call: direct and through it in the same run.
+//! Latency and throughput of calls, sent directly to a backend server and through gateway and
+//! sidecar. It has no input. State: a fleet with one server of each kind. Both ways are measured in
+//! the same run.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,46 +16,46 @@
 use hooktrestle_fakes::engine::Behaviour;
 use serde_json::json;
 
-/// Calls one after the other, for latency.
+/// Number of sequential calls for the latency measurement.
 const LATENCY_CALLS: usize = 2_000;
 
-/// Streams at once, and tokens of each, for throughput.
+/// Number of concurrent streams, and tokens of each, for the throughput measurement.
 const STREAMS: usize = 64;
 const STREAM_TOKENS: u64 = 500;
 
 const KEY: &str = "bench-key";
 
-/// One way to the backend server.
+/// Measurements of one way to the backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct PathTimes {
     /// Median time to the first byte, in microseconds.
     pub first_p50_us: u64,
-    /// 99th of 100.
+    /// 99th percentile of the time to the first byte, in microseconds.
     pub first_p99_us: u64,
     /// Streamed tokens a second.
     pub tokens_per_s: f64,
-    /// Calls a second, one after the other.
+    /// Sequential calls a second.
     pub calls_per_s: f64,
 }
 
-/// Measures both ways: direct, then through the path.
+/// Measures calls that are sent directly, then calls through gateway and sidecar.
 ///
 /// # Errors
 ///
 /// The fleet cannot start, or a call fails.
-pub async fn measure() -> Result<[Way; 2]> {
+pub async fn measure() -> Result<[PathTimes; 2]> {
     let fleet = start().await?;
     let app = fleet.app("plain-1").url();
     let engine = fleet.engine("model-1").url();
     let gateway = Caller::new(&fleet.url("entry-1"), KEY)?;
     let direct_app = Caller::new(&app, KEY)?;
     let direct_engine = Caller::new(&engine, KEY)?;
-    let direct = way(
+    let direct = measure_path(
         |number| direct_app.post(&format!("/direct/{number}")).body("x"),
         |number| direct_engine.chat("model", &format!("d-{number}"), STREAM_TOKENS, true),
     )
     .await?;
-    let through = way(
+    let through = measure_path(
         |number| gateway.plain("plain", &format!("through/{number}"), "x".to_owned()),
         |number| gateway.chat("model", &format!("t-{number}"), STREAM_TOKENS, true),
     )
@@ -61,10 +63,10 @@
     Ok([direct, through])
 }
 
-async fn way(
+async fn measure_path(
     call: impl Fn(usize) -> reqwest::RequestBuilder,
     stream: impl Fn(usize) -> reqwest::RequestBuilder,
-) -> Result<Way> {
+) -> Result<PathTimes> {
     for number in 0..50 {
         finish(call(number)).await?;
     }
@@ -74,7 +76,7 @@
         let sent = Instant::now();
         let response = call(number).send().await?;
         first.record(u64::try_from(sent.elapsed().as_micros())?)?;
-        ensure!(response.status().is_success(), "a call got {}", response.status());
+        ensure!(response.status().is_success(), "a call failed with status {}", response.status());
         response.bytes().await?;
     }
     let calls_per_s = LATENCY_CALLS as f64 / start.elapsed().as_secs_f64();
@@ -85,7 +87,7 @@
         ensure!(matches!(outcome, Outcome::Whole(_)), "a stream ended as {outcome:?}");
     }
     let tokens = STREAMS as f64 * STREAM_TOKENS as f64;
-    Ok(Way {
+    Ok(PathTimes {
         first_p50_us: first.value_at_quantile(0.5),
         first_p99_us: first.value_at_quantile(0.99),
         tokens_per_s: tokens / start.elapsed().as_secs_f64(),
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -1,4 +1,5 @@
-//! A collector of spans: keeps what OTLP exporters send, undecoded.
+//! Stand-in of a trace collector. Input: the requests of OTLP exporters. State: their bodies, which
+//! are not decoded. It accepts every export.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -10,49 +11,49 @@
 use warp::Reply;
 use warp::http::StatusCode;
 
-use crate::serve::Served;
+use crate::serve::ServerHandle;
 use crate::serve::serve;
 
 /// A collector that stops when it is dropped.
 #[derive(Debug)]
 pub struct FakeCollector {
     exports: watch::Sender<Vec<Bytes>>,
-    served: Served,
+    server: ServerHandle,
 }
 
 impl FakeCollector {
-    /// Starts one; port 0 picks a free port.
+    /// Starts a collector; port 0 picks a free port.
     ///
     /// # Errors
     ///
     /// The address cannot be bound.
     pub async fn start(listen: SocketAddr) -> Result<FakeCollector> {
         let exports = watch::Sender::new(Vec::new());
-        let kept = exports.clone();
+        let recorded = exports.clone();
         let routes = warp::post()
             .and(warp::path!("v1" / "traces"))
             .and(warp::body::bytes())
             .map(move |body: Bytes| {
-                kept.send_modify(|exports| exports.push(body));
+                recorded.send_modify(|exports| exports.push(body));
                 StatusCode::OK.into_response()
             })
             .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST) })
             .map(Reply::into_response);
-        let served = serve(listen, routes).await?;
-        Ok(FakeCollector { exports, served })
+        let server = serve(listen, routes).await?;
+        Ok(FakeCollector { exports, server })
     }
 
-    /// Where exporters send.
+    /// URL to which exporters send.
     pub fn url(&self) -> String {
-        format!("http://{}/v1/traces", self.served.address)
+        format!("http://{}/v1/traces", self.server.address)
     }
 
-    /// Waits until some export holds all of these byte strings.
+    /// Waits until one export contains all of these byte strings.
     pub async fn wait(&self, parts: &[&[u8]]) {
         let holds = |export: &Bytes, part: &[u8]| export.windows(part.len()).any(|at| at == part);
         let all = |export: &Bytes| parts.iter().all(|part| holds(export, part));
         let mut exports = self.exports.subscribe();
-        // The sender lives as long as this does.
+        // `wait_for` cannot fail, since `self` holds the sender.
         let _ = exports.wait_for(|exports| exports.iter().any(all)).await;
     }
 }
