--- a/crates/bench/src/switch.rs
+++ b/crates/bench/src/switch.rs
@@ -1,4 +1,6 @@
-//! How long a switch of maps holds a group up, and how soon a configuration is in force.
+//! Measurements of map switches and of configuration changes. Input: a fault or a number of rounds.
+//! State: a fleet. Counts the steps that switches hold, and measures the time until a configuration
+//! is in force.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,7 +8,7 @@
 use eyre::Result;
 use eyre::ensure;
 use hooktrestle_embedded::Fleet;
-use hooktrestle_embedded::Pace;
+use hooktrestle_embedded::Intervals;
 use hooktrestle_fakes::group::FakeGroup;
 use hooktrestle_fakes::group::Steps;
 use serde_json::Value;
@@ -16,29 +18,29 @@
 const EXPERTS: usize = 64;
 const SLOTS: usize = 5;
 
-/// Time that each trouble lasts.
-const MEASURE: Duration = Duration::from_secs(8);
+/// Length of the measurement with each fault.
+const MEASUREMENT: Duration = Duration::from_secs(8);
 
-/// Time between two changes of the hot set.
-const CHANGE_EVERY: Duration = Duration::from_millis(400);
+/// Time between two changes of the set of popular experts.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What happens to the group while its hot set changes.
+/// Fault of a group while its popular experts change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
-    /// Nothing else.
+pub enum Fault {
+    /// No fault.
     None,
     /// One rank cannot load weights.
     FailedLoads,
-    /// Sidecars, the leader's among them, are killed one after the other.
+    /// Sidecars, including the leader, are killed one after the other.
     Restarts,
 }
 
-/// Runs a group of 16 ranks under a trouble; returns what it went through.
+/// Runs a group of 16 ranks with a fault; returns its steps.
 ///
 /// # Errors
 ///
 /// The fleet cannot start.
-pub async fn measure(trouble: Trouble) -> Result<Steps> {
+pub async fn measure(fault: Fault) -> Result<Steps> {
     let mut fleet = Fleet::start().await?;
     let group = FakeGroup::start(RANKS, EXPERTS, SLOTS);
     let mut rows = vec![
@@ -56,34 +58,34 @@
         rows.iter().map(|(key, value)| (key.as_str(), value.clone())).collect();
     fleet.edit(&edits).await?;
     fleet.wait_in_force(|config| config.servers.len() == RANKS).await;
-    group.set_fails_loads(3, trouble == Trouble::FailedLoads);
+    group.set_fails_loads(3, fault == Fault::FailedLoads);
     let start = Instant::now();
     let mut round = 0;
-    while start.elapsed() < MEASURE {
+    while start.elapsed() < MEASUREMENT {
         let mut shares = [1.0; EXPERTS];
         (0..6).for_each(|step| shares[(round * 7 + step * 11) % EXPERTS] = 8.0);
         let sum: f64 = shares.iter().sum();
         group.set_popularity(shares.iter().map(|share| share / sum).collect());
-        if trouble == Trouble::Restarts {
+        if fault == Fault::Restarts {
             let name = format!("model-{:02}", round % RANKS);
             fleet.restart_sidecar(&name, "dc-1").await?;
         }
-        tokio::time::sleep(CHANGE_EVERY).await;
+        tokio::time::sleep(CHANGE_INTERVAL).await;
         round += 1;
     }
     let steps = group.watch().borrow().clone();
     Ok(steps)
 }
 
-/// Times from an operator's write to in force in all of 8 gateways and 16 sidecars, at the default
-/// pace; sorted, in seconds.
+/// Times from an operator's write until it is in force in all of 8 gateways and 16 sidecars, with
+/// the default intervals; sorted, in seconds.
 ///
 /// # Errors
 ///
 /// The fleet cannot start.
 pub async fn in_force(rounds: u32) -> Result<Vec<f64>> {
     let mut fleet = Fleet::start().await?;
-    fleet.pace = Pace { poll_ms: 1_500, heartbeat_ms: 2_000 };
+    fleet.intervals = Intervals { poll_ms: 1_500, heartbeat_ms: 2_000 };
     let mut rows = vec![
         ("data_centre:dc-1".to_owned(), json!({ "region": "home" })),
         ("service:model".to_owned(), json!({ "kind": "model" })),
@@ -112,7 +114,7 @@
         });
         ensure!(
             tokio::time::timeout(Duration::from_secs(60), reached).await.is_ok(),
-            "60 s passed"
+            "the write is not in force within 60 s"
         );
         times_s.push(start.elapsed().as_secs_f64());
     }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,7 +1,8 @@
-//! The way of one request, told from the log lines of gateways.
+//! The `explain` command: the steps of one request, from the log lines of gateways.
 //!
-//! A gateway logs a line for each decision about a request that is not simply its first server's
-//! answer: `request=ID` and the step as JSON ([`RequestStep`]).
+//! Its input is log lines; it holds the steps found so far. A gateway logs a line for each decision
+//! on a request, except for the answer of its first server: `request=ID` and the step as JSON
+//! ([`RequestStep`]). The last step decides which advice is printed.
 
 use std::fs::File;
 use std::io;
@@ -20,71 +21,71 @@
 use hooktrestle_schema::Verdict;
 use serde::Serialize;
 
-/// Ends what a log line tells of itself: time, and whatever a collector put before it.
-const LEVEL: &str = "[info]";
+/// Ends the prefix of a log line: the time, and any text that a log collector adds before it.
+const LEVEL_MARKER: &str = "[info]";
 
-/// A step, and where its line says it comes from.
+/// A step, and the prefix of its log line: time and gateway.
 #[derive(Debug, PartialEq, Serialize)]
-struct Found {
+struct LoggedStep {
     origin: String,
     step: RequestStep,
 }
 
-/// Prints the steps of request `id` in the files, or in standard input where there is none.
+/// Prints the steps of request `id` from the files, or from standard input if there are none.
 pub fn print(id: &str, files: &[PathBuf], json: bool) -> Result<ExitCode> {
-    let mut found = Vec::new();
-    let mut unread = 0;
+    let mut steps = Vec::new();
+    let mut unparsed = 0;
     if files.is_empty() {
-        unread += collect(io::stdin().lock(), id, &mut found)?;
+        unparsed += collect(io::stdin().lock(), id, &mut steps)?;
     }
     for path in files {
         let file = File::open(path).wrap_err_with(|| format!("{}", path.display()))?;
-        unread += collect(BufReader::new(file), id, &mut found)
+        unparsed += collect(BufReader::new(file), id, &mut steps)
             .wrap_err_with(|| format!("{}", path.display()))?;
     }
-    if unread > 0 {
-        eprintln!("hooktrestle: {unread} lines of request {id} are not understood: passed over");
+    if unparsed > 0 {
+        eprintln!("hooktrestle: {unparsed} lines of request {id} could not be parsed: skipped");
     }
-    if found.is_empty() {
+    if steps.is_empty() {
         eprintln!(
-            "hooktrestle: no line tells of request {id}: its first server answered it, its lines were \
-             dropped (look for `lines about requests were dropped`), or it came to another gateway"
+            "hooktrestle: no log line about request {id}: its first server answered it, its lines were \
+             dropped (look for `lines about requests were dropped`), or another gateway served it"
         );
         return Ok(ExitCode::FAILURE);
     }
     if json {
-        println!("{}", serde_json::to_string_pretty(&found)?);
+        println!("{}", serde_json::to_string_pretty(&steps)?);
         return Ok(ExitCode::SUCCESS);
     }
-    for Found { origin, step } in &found {
-        println!("{origin}  {}", told(step));
+    for LoggedStep { origin, step } in &steps {
+        println!("{origin}  {}", describe(step));
     }
-    if let Some(last) = found.last() {
-        println!("{}", ended(&last.step));
+    if let Some(last) = steps.last() {
+        println!("{}", conclusion(&last.step));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Adds the steps of a request; returns how many of its lines were not understood.
-fn collect(lines: impl BufRead, id: &str, found: &mut Vec<Found>) -> io::Result<usize> {
-    let mut unread = 0;
-    let mark = format!("request={id} ");
+/// Collects the steps of a request; returns the number of its lines that could not be parsed.
+fn collect(lines: impl BufRead, id: &str, steps: &mut Vec<LoggedStep>) -> io::Result<usize> {
+    let mut unparsed = 0;
+    let marker = format!("request={id} ");
     for line in lines.lines() {
         let line = line?;
-        let Some((before, step)) = line.split_once(&mark) else { continue };
+        let Some((before, step)) = line.split_once(&marker) else { continue };
         match serde_json::from_str(step.trim_end()) {
             Ok(step) => {
-                let origin = before.split(LEVEL).next().unwrap_or(before).trim().to_owned();
-                found.push(Found { origin, step });
+                let origin = before.split(LEVEL_MARKER).next().unwrap_or(before).trim().to_owned();
+                steps.push(LoggedStep { origin, step });
             }
-            Err(_) => unread += 1,
+            Err(_) => unparsed += 1,
         }
     }
-    Ok(unread)
+    Ok(unparsed)
 }
 
-/// A step in plain words.
-fn told(step: &RequestStep) -> String {
+/// Describes a step in words.
+fn describe(step: &RequestStep) -> String {
     match step {
         RequestStep::Attempt(step) => {
             format!("server {}: {}; {}", step.server_number, fate(step.fate), next(step.next))
@@ -104,18 +105,18 @@
             )
         }
         RequestStep::Rest(step) => {
-            format!("server {} asked for a rest of `{}` s", step.server_number, step.asked)
+            format!("server {} asked to back off for `{}` s", step.server_number, step.asked)
         }
         RequestStep::Limit(step) => {
             format!(
-                "server {} takes `{}` requests a second from all gateways",
+                "server {} advertised a limit of `{}` requests a second for all gateways",
                 step.server_number, step.named
             )
         }
         RequestStep::Leave(step) => {
             let why = match step.reason {
-                LeaveReason::BrokenOff => "broke off or was silent",
-                LeaveReason::Slow => "was found slow",
+                LeaveReason::BrokenOff => "truncated the stream or stopped sending",
+                LeaveReason::Slow => "was detected as slow",
             };
             let after =
                 step.after_event_number.map_or("before its first event".to_owned(), |event| {
@@ -133,7 +134,7 @@
     match fate {
         AttemptFate::NotSent => "it was not reached",
         AttemptFate::NotRun => "it said that it did not run the request",
-        AttemptFate::MayHaveRun => "no whole answer came, so it may have run",
+        AttemptFate::MayHaveRun => "no complete answer was received, so it may have run",
         AttemptFate::Failed => "it answered that it failed",
     }
 }
@@ -146,14 +147,14 @@
     }
 }
 
-/// How it ended, and what to look at, from its last step.
-fn ended(last: &RequestStep) -> String {
+/// How the request ended, and what to check next, from its last step.
+fn conclusion(last: &RequestStep) -> String {
     match last {
         RequestStep::Refused(step) => {
             let ran = match step.verdict {
                 Verdict::NotRun => "It did not run, and the caller was told so.",
                 Verdict::MayHaveRun | Verdict::Ran => {
-                    "It may have run, so it was not sent again and the caller was promised nothing."
+                    "It may have run, so it was not retried and the caller got no guarantee."
                 }
             };
             format!("{ran} {}", advice(step.cause))
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,11 @@
 //! `hooktrestle`: the operators' command-line tool.
 //!
-//! It edits rows of the one table and reads what became of them; all else follows from the rows.
+//! Its input is the command line; it holds no state. It reads and writes rows of the platform's
+//! table, from which all configuration follows, shows which configuration is in force, and explains
+//! requests from log lines.
 //!
-//! Exit status: 0 done; 1 refused or failed, with the reason on standard error; 2 the command line
-//! is wrong; 3 (`--wait`, `status`) not in force everywhere.
+//! Exit status: 0 done; 1 refused or failed, with the reason on standard error; 2 invalid command
+//! line; 3 (`--wait`, `status`) not in force in every data centre.
 
 mod explain;
 mod flags;
@@ -18,7 +20,7 @@
 
 use crate::flags::HooktrestleCmd;
 
-/// Longest wait for one answer of the platform.
+/// Longest wait for one response of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::main]
@@ -35,7 +37,7 @@
 
 async fn run(flags: flags::Hooktrestle) -> Result<ExitCode> {
     let url = flags.platform.unwrap_or_else(|| "http://127.0.0.1:7400".to_owned());
-    // Not every command needs it.
+    // Built on demand: `explain` reads log files only.
     let platform = || {
         Platform::new(hooktrestle_platform::Config {
             table_url: url.clone(),
@@ -47,16 +49,16 @@
     match flags.subcommand {
         HooktrestleCmd::Get(get) => rows::get(&platform()?, &get.row).await,
         HooktrestleCmd::Set(set) => {
-            let how = rows::How { dry_run: set.dry_run, wait: set.wait };
-            rows::set(&platform()?, &set.row, &set.fields, how).await
+            let options = rows::EditOptions { dry_run: set.dry_run, wait: set.wait };
+            rows::set(&platform()?, &set.row, &set.fields, options).await
         }
         HooktrestleCmd::Drain(drain) => {
-            let how = rows::How { dry_run: false, wait: drain.wait };
-            rows::set(&platform()?, &drain.row, &["drain=true".to_owned()], how).await
+            let options = rows::EditOptions { dry_run: false, wait: drain.wait };
+            rows::set(&platform()?, &drain.row, &["drain=true".to_owned()], options).await
         }
         HooktrestleCmd::Undrain(undrain) => {
-            let how = rows::How { dry_run: false, wait: undrain.wait };
-            rows::set(&platform()?, &undrain.row, &["drain=false".to_owned()], how).await
+            let options = rows::EditOptions { dry_run: false, wait: undrain.wait };
+            rows::set(&platform()?, &undrain.row, &["drain=false".to_owned()], options).await
         }
         HooktrestleCmd::Status(flags) => status::print(&platform()?, flags.json).await,
         HooktrestleCmd::Explain(explain) => {
--- a/crates/embedded/tests/configuration.rs
+++ b/crates/embedded/tests/configuration.rs
@@ -1,4 +1,8 @@
-//! Accepted configurations: in force everywhere, and never older again.
+//! Accepted configurations are in force in every process, and versions never decrease.
+//!
+//! Guards against processes that miss a configuration during an outage of the store, that return to
+//! an older one after a restart, and against edits that are lost when operators or acceptors run at
+//! the same time.
 
 mod common;
 
@@ -36,8 +40,8 @@
     json!({ "service": "hints", "data_centre": "dar-1", "weight": weight })
 }
 
-/// Accepts what was edited, as some gateway would, and takes the store down before anybody can
-/// read it but `entry-1`.
+/// The store goes down once `entry-1` has an accepted edit. The other processes may not have read
+/// it by then, and receive it from their peers.
 #[tokio::test]
 async fn the_store_goes_down_right_after_an_acceptance() {
     let fleet = deployment(2).await;
@@ -58,7 +62,7 @@
     fleet.restart_sidecar("hints-1", "dar-1").await.unwrap();
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     loop {
-        // Until the gateway has noticed that the old process is gone, nobody can say `not-run`.
+        // Until the gateway has detected that the old process is gone, it cannot answer `not-run`.
         let outcome = finish(caller.chat("hints", "m", 3, true)).await.unwrap();
         let Outcome::Refused { verdict, cause, .. } = outcome else { panic!("{outcome:?}") };
         if cause == "not-ready" {
@@ -100,7 +104,7 @@
     };
     assert_eq!(message("backend_server:bad"), "service: there is no service `nowhere`");
     assert!(message("backend_server:worse").contains("from 0 to 10000"));
-    // The missing service comes: the row left out goes into force by itself.
+    // Once the missing service exists, the row that was left out is in force without another edit.
     fleet.edit(&[("service:nowhere", json!({ "kind": "plain" }))]).await.unwrap();
     fleet.wait_in_force(|config| config.server("bad").is_some()).await;
 }
@@ -109,10 +113,10 @@
 async fn operators_who_race_on_a_row_lose_nothing() {
     let fleet = deployment(1).await;
     let key = "backend_server:hints-1";
-    let seen = fleet.platform.row(ROWS, key).await.unwrap().unwrap();
+    let stored = fleet.platform.row(ROWS, key).await.unwrap().unwrap();
     let write = |weight: u32| {
         let (table, key) = (ROWS.to_owned(), key.to_owned());
-        let check = RowCheck { table: table.clone(), key: key.clone(), version: seen.version };
+        let check = RowCheck { table: table.clone(), key: key.clone(), version: stored.version };
         (vec![check], vec![RowWrite { table, key, value: row(weight) }])
     };
     let (checks, writes) = write(3);
@@ -120,7 +124,7 @@
     let (checks, writes) = write(4);
     let error = fleet.platform.transact(checks, writes).await.unwrap_err();
     let conflicts = error.conflicts().expect("a conflict");
-    assert!(conflicts[0].version > seen.version);
+    assert!(conflicts[0].version > stored.version);
     assert_eq!(fleet.platform.row(ROWS, key).await.unwrap().unwrap().value, row(3));
 }
 
@@ -166,7 +170,7 @@
     fleet.wait_in_force(|config| config.version == 5).await;
 }
 
-/// One process is cut off from the platform alone; it hears the newer version from its peers.
+/// Slow answers of the store and restarts of a sidecar must not bring an older version into force.
 #[tokio::test]
 async fn versions_only_grow_in_every_process_over_restarts_and_outages() {
     let mut fleet = deployment(2).await;
--- a/crates/embedded/tests/failures.rs
+++ b/crates/embedded/tests/failures.rs
@@ -1,5 +1,8 @@
-//! What callers are told when something dies, leaves or breaks: judged by the backend servers'
-//! ledgers.
+//! Responses to callers while backend servers, sidecars and gateways refuse, fail, leave or drain.
+//!
+//! Guards against a wrong verdict (`not-run` for a request that ran), a second run of a request
+//! that must run once, and truncated answers that look complete. The ledgers of the stand-in
+//! backend servers hold what really ran.
 
 mod common;
 
@@ -57,23 +60,23 @@
 #[tokio::test]
 async fn a_backend_server_that_asks_for_rest_gets_nothing_meanwhile() {
     let fleet = deployment(2).await;
-    let resting = Behaviour { refuse: true, asks_rest_s: Some(500), ..Behaviour::default() };
+    let backing_off = Behaviour { refuse: true, retry_after_s: Some(500), ..Behaviour::default() };
     let chat =
         |number: u32| caller(&fleet, "entry-1").chat("hints", &format!("n-{number}"), 2, true);
-    fleet.engine("hints-1").set_behaviour(resting);
-    fleet.engine("hints-2").set_behaviour(resting);
+    fleet.engine("hints-1").set_behaviour(backing_off);
+    fleet.engine("hints-2").set_behaviour(backing_off);
     let outcome = finish(chat(0)).await.unwrap();
-    assert_eq!(outcome.verdict(), Some("not-run"), "both ask for rest");
-    // They would take requests by now.
+    assert_eq!(outcome.verdict(), Some("not-run"), "both ask for a back-off");
+    // Both servers accept requests from here on; the back-off still holds.
     fleet.engine("hints-1").set_behaviour(Behaviour::default());
     fleet.engine("hints-2").set_behaviour(Behaviour::default());
     for number in 1..6 {
         let Outcome::Refused { verdict, retry_after_ms, .. } = finish(chat(number)).await.unwrap()
         else {
-            panic!("it is refused")
+            panic!("the request was not refused")
         };
         assert_eq!(verdict, "not-run");
-        let left_ms = retry_after_ms.expect("a time to come back");
+        let left_ms = retry_after_ms.expect("a retry time");
         assert!((400_000..=500_000).contains(&left_ms), "{left_ms} ms");
     }
     for name in ["hints-1", "hints-2"] {
@@ -84,18 +87,18 @@
 #[tokio::test]
 async fn a_backend_server_that_names_a_limit_gets_no_more() {
     let fleet = deployment(1).await;
-    // One in ten seconds is sent to a server that takes none.
-    let limited = Behaviour { limit_per_s: Some(0.0), ..Behaviour::default() };
+    // A server with a limit of zero still gets one request every ten seconds.
+    let limited = Behaviour { advertised_limit_per_s: Some(0.0), ..Behaviour::default() };
     fleet.engine("hints-1").set_behaviour(limited);
     let chat = |gateway: &str, number: u32| {
-        let asked = caller(&fleet, gateway).chat("hints", &format!("n-{number}"), 2, true);
-        asked.header("x-hooktrestle-deadline-ms", "2000")
+        let request = caller(&fleet, gateway).chat("hints", &format!("n-{number}"), 2, true);
+        request.header("x-hooktrestle-deadline-ms", "2000")
     };
     assert!(matches!(finish(chat("entry-1", 0)).await.unwrap(), Outcome::Whole(_)));
     for (number, gateway) in [(1, "entry-1"), (2, "entry-2"), (3, "entry-1")] {
         let outcome = finish(chat(gateway, number)).await.unwrap();
         let Outcome::Refused { verdict, retry_after_ms, .. } = outcome else {
-            panic!("it is refused")
+            panic!("the request was not refused")
         };
         assert_eq!(verdict, "not-run");
         assert!(retry_after_ms.is_some_and(|after_ms| after_ms > 2_000), "{retry_after_ms:?}");
@@ -120,10 +123,10 @@
 #[tokio::test]
 async fn an_answer_that_breaks_off_never_looks_whole() {
     let fleet = deployment(1).await;
-    let broken = Behaviour { break_after: Some(5), ..Behaviour::default() };
-    fleet.engine("hints-1").set_behaviour(broken);
+    let truncated = Behaviour { truncate_after_tokens: Some(5), ..Behaviour::default() };
+    fleet.engine("hints-1").set_behaviour(truncated);
     let outcome = finish(caller(&fleet, "entry-1").chat("hints", "m", 20, true)).await.unwrap();
-    let Outcome::CutOff(text) = outcome else { panic!("{outcome:?}") };
+    let Outcome::Truncated(text) = outcome else { panic!("{outcome:?}") };
     assert!(text.contains("event: error"), "{text}");
     assert!(text.contains("\"verdict\":\"ran\""), "{text}");
     assert!(!text.contains("[DONE]"), "{text}");
@@ -136,8 +139,8 @@
     let first = once(caller(&fleet, "entry-1").chat("hints", "charged", 3, true), &key);
     assert!(matches!(finish(first).await.unwrap(), Outcome::Whole(_)));
     for gateway in ["entry-2", "entry-1", "entry-2"] {
-        let again = once(caller(&fleet, gateway).chat("hints", "charged", 3, true), &key);
-        let outcome = finish(again).await.unwrap();
+        let retry = once(caller(&fleet, gateway).chat("hints", "charged", 3, true), &key);
+        let outcome = finish(retry).await.unwrap();
         assert_eq!(cause(&outcome), ("may-have-run", "already-seen"));
     }
     let started = |name: &str| fleet.engine(name).ledger.entry("charged").started;
@@ -171,8 +174,8 @@
     fleet.restart_sidecar("hints-1", "dar-1").await.unwrap();
     fleet.wait_in_force(|_| true).await;
     loop {
-        let again = once(caller(&fleet, "entry-2").chat("hints", "charged", 3, true), &key);
-        let outcome = finish(again).await.unwrap();
+        let retry = once(caller(&fleet, "entry-2").chat("hints", "charged", 3, true), &key);
+        let outcome = finish(retry).await.unwrap();
         assert_eq!(outcome.verdict(), Some("may-have-run"), "{outcome:?}");
         if cause(&outcome).1 == "other-incarnation" {
             break;
@@ -219,7 +222,7 @@
     let mut response = call.send().await.unwrap();
     response.chunk().await.unwrap().unwrap();
     drop(response);
-    // The engine's one place is free again only if the run was cancelled.
+    // The sidecar has no running request before the timeout only if the run was cancelled.
     let running = fleet.sidecars["hints-1"].leave(Duration::from_secs(20)).await;
     assert_eq!(running, 0);
     assert_eq!(fleet.engine("hints-1").ledger.entry("gone").finished, 0);
@@ -234,7 +237,7 @@
         let call = caller(&fleet, "entry-1").plain("puzzles", &format!("{number}"), "y".to_owned());
         assert_eq!(finish(call).await.unwrap(), Outcome::Whole("y".to_owned()));
     }
-    let Outcome::Whole(text) = read(held).await.unwrap() else { panic!("not whole") };
+    let Outcome::Whole(text) = read(held).await.unwrap() else { panic!("not a complete answer") };
     assert_eq!(text.len(), 8 << 20);
 }
 
@@ -266,7 +269,7 @@
             tokio::spawn(finish(call))
         })
         .collect();
-    // 32 run at each worker; the rest waits.
+    // Each backend server runs 32 requests; the others wait.
     let ledgers = ["hints-1", "hints-2"].map(|name| fleet.engine(name).ledger.clone());
     while ledgers.iter().map(|ledger| ledger.all().len()).sum::<usize>() < 64 {
         tokio::task::yield_now().await;
@@ -343,11 +346,11 @@
                 assert!(retry_after_ms.is_some_and(|ms| ms > 0));
                 refused += 1;
             }
-            Outcome::CutOff(text) => panic!("{text}"),
+            Outcome::Truncated(text) => panic!("{text}"),
         }
     }
     assert!(refused > 0);
-    // Another account is not touched.
+    // The limit of one account does not affect another.
     let call = caller(&fleet, "entry-1").chat("hints", "other", 1, true);
     assert!(matches!(finish(call).await.unwrap(), Outcome::Whole(_)));
 }
--- a/crates/fakes/src/app.rs
+++ b/crates/fakes/src/app.rs
@@ -1,7 +1,5 @@
-//! A plain application service: echoes what it gets.
-//!
-//! Any method and path. The answer's body is the request's; its marker in the ledger is the
-//! request's path.
+//! Stand-in of a plain application service. Input: requests with any method and path. State: the
+//! ledger, with the request's path as marker. It answers each request with the request's body.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,41 +14,41 @@
 use warp::http::StatusCode;
 
 use crate::ledger::Ledger;
-use crate::serve::Served;
+use crate::serve::ServerHandle;
 use crate::serve::serve;
 
 /// An application service that stops when it is dropped.
 #[derive(Debug)]
 pub struct FakeApp {
-    /// What really ran.
+    /// The requests that ran.
     pub ledger: Ledger,
-    served: Served,
+    server: ServerHandle,
 }
 
 impl FakeApp {
-    /// Starts one; port 0 picks a free port.
+    /// Starts a service; port 0 picks a free port.
     ///
     /// # Errors
     ///
     /// The address cannot be bound.
     pub async fn start(listen: SocketAddr) -> Result<FakeApp> {
         let ledger = Ledger::default();
-        let seen = ledger.clone();
+        let shared_ledger = ledger.clone();
         let routes = warp::path::full()
             .and(warp::body::stream())
             .then(move |path: warp::path::FullPath, body| {
-                let ledger = seen.clone();
+                let ledger = shared_ledger.clone();
                 async move { echo(path.as_str(), body, &ledger).await }
             })
             .recover(|_| async { Ok::<_, Infallible>(StatusCode::BAD_REQUEST) })
             .map(Reply::into_response);
-        let served = serve(listen, routes).await?;
-        Ok(FakeApp { ledger, served })
+        let server = serve(listen, routes).await?;
+        Ok(FakeApp { ledger, server })
     }
 
-    /// Its base URL.
+    /// Base URL of the service.
     pub fn url(&self) -> String {
-        format!("http://{}", self.served.address)
+        format!("http://{}", self.server.address)
     }
 }
 
--- /dev/null
+++ b/crates/soak/src/backends.rs
@@ -0,0 +1,328 @@
+//! Stand-ins for the store and the backend servers, and their faults.
+//! Input: faults of the store and of servers. State: servers that accept requests, store snapshots.
+//! Decides when a server is replaced, when rows are removed and what the store loses in a drill.
+
+use std::cell::Cell;
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hooktrestle_users_standin::configuration_with;
+use hooktrestle_users_standin::proxy::Proxy;
+use hooktrestle_users_standin::server::Action;
+use hooktrestle_users_standin::server::Server;
+use hooktrestle_users_standin::store::Mode;
+use hooktrestle_users_standin::store::Snapshot;
+use hooktrestle_users_standin::store::Store;
+use tokio::task;
+use tokio::time;
+use tokio::time::Instant;
+
+use crate::ledger::Ledger;
+use crate::network;
+use crate::schedule::FaultKind;
+
+/// Time for which the row of a leaving server stays in the store. The server runs on after it.
+const LISTED_AS_LEAVING: Duration = Duration::from_secs(2);
+
+/// Back-off texts that servers send: valid times and invalid texts.
+const BACK_OFF_VALUES: [&str; 6] = ["3", "1.5", "0.4", "8", "-1", "soon"];
+
+/// Limit texts that servers advertise: valid numbers and invalid texts.
+const LIMIT_VALUES: [&str; 8] = ["1.3", "0.4", "2", "0", "7.25", "1e12", "-1", "soon"];
+
+/// Maximum age of the snapshot with which the store returns in a drill.
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(10);
+
+/// Time after the end of a drill within which the operator and the servers write their lost rows
+/// again.
+const REWRITE_WITHIN_MS: u64 = 1_500;
+
+/// Tables of the operator and of the servers, whose lost rows are written again after a drill.
+const REWRITTEN_TABLES: [&str; 2] = ["op", "servers"];
+
+/// Time after a crash until the row of the server is removed.
+const ROW_EXPIRY: Duration = Duration::from_millis(1_500);
+
+/// Time from the removal of the row until another server replaces one that crashed while it ran a
+/// request.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
+
+/// A server, and the proxy through which gateways reach it.
+#[derive(Clone)]
+struct ProxiedServer {
+    server: Server,
+    proxy: Proxy,
+}
+
+/// The store and the backend servers.
+pub struct Backends {
+    /// The store, at the address for operators.
+    pub store: Store,
+    ledger: Rc<Ledger>,
+    store_endpoints: RefCell<Vec<Store>>,
+    /// Servers that accept requests.
+    active: RefCell<Vec<ProxiedServer>>,
+    started_count: Cell<u32>,
+    version: Cell<u64>,
+    accepted_at: Cell<Instant>,
+    /// Request bodies that crash servers.
+    crash_bodies: RefCell<Vec<String>>,
+    /// Snapshots of the store, the newest at the end.
+    snapshots: RefCell<VecDeque<(Instant, Snapshot)>>,
+    /// Number of drills in progress.
+    drills: Cell<u32>,
+}
+
+impl Backends {
+    /// Starts a store with a configuration, and `servers` servers.
+    pub async fn start(servers: usize, ledger: Rc<Ledger>) -> Rc<Backends> {
+        let backends = Rc::new(Backends {
+            store: Store::start().await,
+            ledger,
+            store_endpoints: RefCell::default(),
+            active: RefCell::default(),
+            started_count: Cell::new(0),
+            version: Cell::new(0),
+            accepted_at: Cell::new(Instant::now()),
+            crash_bodies: RefCell::default(),
+            snapshots: RefCell::default(),
+            drills: Cell::default(),
+        });
+        backends.configure();
+        for _ in 0..servers {
+            backends.add_server().await;
+        }
+        backends
+    }
+
+    /// Writes a new version of the configuration, as the operator does. Returns whether the store
+    /// accepted it, which it does not during a drill.
+    pub fn configure(&self) -> bool {
+        if self.drills.get() > 0 {
+            return false;
+        }
+        let version = self.version.get() + 1;
+        let route = route_of(version);
+        self.store.put("op", "config", &configuration_with(version, &[&route]));
+        self.version.set(version);
+        self.accepted_at.set(Instant::now());
+        true
+    }
+
+    /// The newest configuration version, and when the store accepted it.
+    pub fn newest_configuration(&self) -> (u64, Instant) {
+        (self.version.get(), self.accepted_at.get())
+    }
+
+    async fn add_server(&self) {
+        let number = self.started_count.get() + 1;
+        self.started_count.set(number);
+        let server = Server::start(&format!("s{number}")).await;
+        server.set_default_action(Action::Work);
+        self.crash_bodies.borrow().iter().for_each(|body| server.crash_on(body));
+        let proxy = Proxy::open(server.address).await;
+        self.store.put("servers", &server.id, &server.entry_via(proxy.address, "ready"));
+        self.ledger.watch_server(&server);
+        self.active.borrow_mut().push(ProxiedServer { server, proxy });
+    }
+
+    /// From now on servers crash when they run a request with this body, and others replace them.
+    pub fn crash_on(&self, body: &str) {
+        self.crash_bodies.borrow_mut().push(body.to_owned());
+        self.active.borrow().iter().for_each(|proxied| proxied.server.crash_on(body));
+    }
+
+    /// Takes a snapshot of the store, and drops snapshots that are too old for a drill.
+    fn take_snapshot(&self) {
+        let mut snapshots = self.snapshots.borrow_mut();
+        snapshots.push_back((Instant::now(), self.store.snapshot()));
+        while snapshots.front().is_some_and(|(at, _)| at.elapsed() > MAX_SNAPSHOT_AGE) {
+            snapshots.pop_front();
+        }
+    }
+
+    /// Makes the store unavailable, and then restores the snapshot selected by `target`.
+    async fn drill(self: &Rc<Self>, target: usize, duration: Duration) {
+        let snapshot = {
+            let snapshots = self.snapshots.borrow();
+            snapshots.get(target % snapshots.len().max(1)).map(|(_, snapshot)| snapshot.clone())
+        };
+        let Some(snapshot) = snapshot else { return };
+        self.drills.set(self.drills.get() + 1);
+        let mood = [Mode::Busy, Mode::Unresponsive][target % 2];
+        self.set_mood_for(mood, duration).await;
+        let lost = self.store.restore(&snapshot);
+        self.drills.set(self.drills.get() - 1);
+        // Rows lost in the previous drill are not yet written again by then.
+        self.snapshots.borrow_mut().clear();
+        for (number, write) in lost.into_iter().enumerate() {
+            if !REWRITTEN_TABLES.contains(&write.table.as_str()) {
+                continue;
+            }
+            let backends = self.clone();
+            let after_ms = (target + number * 7_919) as u64 % REWRITE_WITHIN_MS;
+            task::spawn_local(async move {
+                time::sleep(Duration::from_millis(after_ms)).await;
+                backends.store.rewrite(&write);
+            });
+        }
+    }
+
+    /// Detects servers that crashed while they ran a request, and replaces them after a delay.
+    pub fn poll(self: &Rc<Self>) {
+        if self.drills.get() == 0 {
+            // Heartbeats of servers advance the revision of the store.
+            self.store.advance_revision();
+            self.take_snapshot();
+        }
+        let crashed = |proxied: &&ProxiedServer| proxied.server.has_crashed();
+        let crashed: Vec<ProxiedServer> =
+            self.active.borrow().iter().filter(crashed).cloned().collect();
+        for ProxiedServer { server, .. } in crashed {
+            self.deactivate(&server.id);
+            let backends = self.clone();
+            task::spawn_local(async move { backends.replace(&server, REPLACEMENT_DELAY).await });
+        }
+    }
+
+    fn pick(&self, target: usize) -> Option<ProxiedServer> {
+        let active = self.active.borrow();
+        (!active.is_empty()).then(|| active[target % active.len()].clone())
+    }
+
+    fn deactivate(&self, id: &str) {
+        self.active.borrow_mut().retain(|proxied| proxied.server.id != id);
+    }
+
+    /// Injects a fault into the store or a server, and waits until the fault has ended.
+    pub async fn inject(self: &Rc<Self>, kind: FaultKind, target: usize, duration: Duration) {
+        match kind {
+            FaultKind::StoreBusy => self.set_mood_for(Mode::Busy, duration).await,
+            FaultKind::StoreSilent => self.set_mood_for(Mode::Unresponsive, duration).await,
+            FaultKind::StoreLosesAnswers => self.set_mood_for(Mode::LosesAnswers, duration).await,
+            FaultKind::StoreForgets => self.store.discard_history(),
+            FaultKind::StoreDrill => self.drill(target, duration).await,
+            FaultKind::ServerMute
+            | FaultKind::ServerReset
+            | FaultKind::ServerSlow
+            | FaultKind::ServerHoldsRequests
+            | FaultKind::ServerHoldsAnswers
+            | FaultKind::ServerCrash
+            | FaultKind::ServerDrain
+            | FaultKind::ServerRefuses
+            | FaultKind::ServerFails
+            | FaultKind::ServerLosesAnswers
+            | FaultKind::ServerAnswersTwice
+            | FaultKind::ServerForges
+            | FaultKind::ServerAsksRest
+            | FaultKind::ServerSaysItLeaves
+            | FaultKind::ServerNamesLimit => {
+                if let Some(proxied) = self.pick(target) {
+                    self.inject_server_fault(kind, proxied, target, duration).await;
+                }
+            }
+            // `Fleet::inject` injects the faults of gateways.
+            _ => {}
+        }
+    }
+
+    /// Opens a further address of the store, for one gateway.
+    pub async fn add_store_endpoint(&self) -> Store {
+        let endpoint = self.store.with_another_address().await;
+        self.store_endpoints.borrow_mut().push(endpoint.clone());
+        endpoint
+    }
+
+    fn set_moods(&self, mood: Mode) {
+        self.store_endpoints.borrow().iter().for_each(|endpoint| endpoint.set_mode(mood));
+    }
+
+    async fn set_mood_for(&self, mood: Mode, duration: Duration) {
+        self.set_moods(mood);
+        time::sleep(duration).await;
+        self.set_moods(Mode::Normal);
+    }
+
+    async fn inject_server_fault(
+        self: &Rc<Self>,
+        kind: FaultKind,
+        proxied: ProxiedServer,
+        target: usize,
+        duration: Duration,
+    ) {
+        let ProxiedServer { server, proxy } = proxied;
+        let act = match kind {
+            FaultKind::ServerRefuses => Action::Refuse,
+            FaultKind::ServerFails => Action::Fail,
+            FaultKind::ServerLosesAnswers => Action::LoseAnswer,
+            FaultKind::ServerAnswersTwice => Action::WorkAndAnswerTwice,
+            FaultKind::ServerForges => Action::AnswerUnsigned("forged".to_owned()),
+            FaultKind::ServerAsksRest => Action::RefuseWithBackOff(
+                BACK_OFF_VALUES[target % BACK_OFF_VALUES.len()].to_owned(),
+            ),
+            FaultKind::ServerSaysItLeaves => return self.announce_leaving(&server).await,
+            FaultKind::ServerNamesLimit => {
+                server.advertise_limit(Some(LIMIT_VALUES[target % LIMIT_VALUES.len()]));
+                time::sleep(duration).await;
+                return server.advertise_limit(None);
+            }
+            FaultKind::ServerDrain => return self.drain(&server, &proxy).await,
+            FaultKind::ServerCrash => return self.crash(&server, duration).await,
+            _ => return network::inject(&proxy, kind, duration).await,
+        };
+        server.set_default_action(act);
+        time::sleep(duration).await;
+        server.set_default_action(Action::Work);
+    }
+
+    async fn crash(&self, server: &Server, duration: Duration) {
+        self.deactivate(&server.id);
+        server.crash();
+        self.replace(server, duration).await;
+    }
+
+    /// Removes the row of a crashed server, and starts another server after `duration`.
+    async fn replace(&self, server: &Server, duration: Duration) {
+        time::sleep(ROW_EXPIRY).await;
+        self.store.remove("servers", &server.id);
+        time::sleep(duration).await;
+        self.add_server().await;
+    }
+
+    async fn drain(self: &Rc<Self>, server: &Server, proxy: &Proxy) {
+        self.deactivate(&server.id);
+        self.add_server().await;
+        self.store.put("servers", &server.id, &server.entry_via(proxy.address, "draining"));
+        self.ledger.mark_leaving(&server.id);
+        self.remove_later(server).await;
+    }
+
+    /// A server announces only in its answers that it is leaving; its row shows that it is ready.
+    async fn announce_leaving(self: &Rc<Self>, server: &Server) {
+        self.deactivate(&server.id);
+        self.add_server().await;
+        server.report_leaving(true);
+        self.remove_later(server).await;
+        self.ledger.mark_leaving(&server.id);
+    }
+
+    /// Removes the row of a leaving server after some time.
+    async fn remove_later(&self, server: &Server) {
+        time::sleep(LISTED_AS_LEAVING).await;
+        self.store.remove("servers", &server.id);
+        // The server runs on beyond the drain bound, so that late requests to it are detected.
+        let server = server.clone();
+        let shutdown_delay = self.ledger.bounds.drain * 4;
+        task::spawn_local(async move {
+            time::sleep(shutdown_delay).await;
+            server.crash();
+        });
+    }
+}
+
+/// The route that only this version of the configuration has.
+pub fn route_of(version: u64) -> String {
+    format!("v{version}")
+}
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,6 @@
-//! `hooktrestle-soak`: seeds of troubles, run one after the other.
+//! `hooktrestle-soak`: runs soak tests of consecutive seeds, one after the other.
+//! Input: the command-line flags. State: the number of seeds that failed.
+//! Decides the exit code: failure if a guarantee was violated with one of the seeds.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,47 +14,48 @@
 use hooktrestle_soak::run;
 use hooktrestle_soak::run::Config;
 use hooktrestle_soak::schedule;
-use hooktrestle_soak::schedule::KINDS;
-use hooktrestle_soak::schedule::Kind;
-use hooktrestle_soak::schedule::Trouble;
+use hooktrestle_soak::schedule::FAULT_KINDS;
+use hooktrestle_soak::schedule::Fault;
+use hooktrestle_soak::schedule::FaultKind;
 use hooktrestle_soak::shrink::shrink;
 
-/// Most runs that shrinking a seed may take.
-const SHRINK_TRIES: usize = 24;
+/// Maximum number of runs to shrink the faults of one seed.
+const MAX_SHRINK_RUNS: usize = 24;
 
 mod flags {
     #![allow(missing_docs)]
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs real gateways under overlapping faults, and checks what is promised while they run.
-        /// Exits with 1 if a promise was not kept.
+        /// Runs real gateways under overlapping faults and checks the guarantees of the service.
+        /// Exits with 1 if a guarantee was violated.
         cmd hooktrestle-soak {
-            /// First seed; 1 if left out. A seed draws the same troubles on every run.
+            /// First seed; default 1. A seed draws the same faults on every run.
             optional --seed seed: u64
-            /// How many seeds to run, one after the other; 1 if left out.
+            /// Number of seeds to run, one after the other; default 1.
             optional --seeds count: u64
-            /// Seconds of traffic for a seed; 60 if left out.
+            /// Seconds of traffic for each seed; default 60.
             optional --length-s seconds: u64
-            /// Gateways; 3 if left out.
+            /// Number of gateways; default 3.
             optional --gateways count: usize
-            /// Backend servers; 4 if left out.
+            /// Number of backend servers; default 4.
             optional --servers count: usize
-            /// Callers; 12 if left out.
+            /// Number of callers; default 12.
             optional --callers count: usize
-            /// Faults to draw from, by commas; all if left out. `--list-faults` names them.
+            /// Faults to draw from, separated by commas; default all. `--list-faults` lists them.
             optional --faults names: String
-            /// Names the faults.
+            /// Lists the names of the faults.
             optional --list-faults
-            /// How much longer than promised things may take, for busy machines; 1 if left out.
+            /// Factor by which the time bounds are extended on busy machines; default 1.
             optional --stretch times: u32
-            /// The gateway's program; the one beside this program if left out.
+            /// Gateway program; default the one in the folder of this program.
             optional --program file: PathBuf
-            /// Folder for settings and logs of the gateways; one in the folder for temporary files if left out.
+            /// Folder for settings and logs of the gateways; default one in the folder for
+            /// temporary files.
             optional --folder folder: PathBuf
-            /// Prints the troubles of the seeds.
+            /// Prints the faults of each seed.
             optional --troubles
-            /// Finds the fewest troubles with which a seed that fails still does.
+            /// Finds the fewest faults with which a failing seed still fails.
             optional --shrink
         }
     }
@@ -61,7 +64,7 @@
 fn main() -> Result<ExitCode> {
     let flags = flags::HooktrestleSoak::from_env_or_exit();
     if flags.list_faults {
-        KINDS.iter().for_each(|(name, _)| println!("{name}"));
+        FAULT_KINDS.iter().for_each(|(name, _)| println!("{name}"));
         return Ok(ExitCode::SUCCESS);
     }
     let kinds = kinds(flags.faults.as_deref())?;
@@ -69,37 +72,38 @@
     let first = flags.seed.unwrap_or(1);
     let mut failed = 0;
     for seed in first..first.saturating_add(flags.seeds.unwrap_or(1)) {
-        let troubles = schedule::draw(seed, config.length, &kinds);
-        let report = run::run(&config, seed, &troubles)?;
-        println!("seed {seed}: {} troubles, {report}", troubles.len());
+        let seed_faults = schedule::draw(seed, config.length, &kinds);
+        let report = run::run(&config, seed, &seed_faults)?;
+        println!("seed {seed}: {} faults, {report}", seed_faults.len());
         if flags.troubles {
-            print(&troubles);
+            print_faults(&seed_faults);
         }
-        if report.broken.is_empty() {
+        if report.violations.is_empty() {
             continue;
         }
         failed += 1;
         if flags.shrink {
-            let fails = |some: &[Trouble]| {
-                run::run(&config, seed, some).is_ok_and(|report| !report.broken.is_empty())
+            let fails = |subset: &[Fault]| {
+                run::run(&config, seed, subset).is_ok_and(|report| !report.violations.is_empty())
             };
-            println!("  fails still with:");
-            print(&shrink(&troubles, SHRINK_TRIES, fails));
+            println!("  still fails with:");
+            print_faults(&shrink(&seed_faults, MAX_SHRINK_RUNS, fails));
         }
     }
     Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn print(troubles: &[Trouble]) {
-    troubles.iter().for_each(|trouble| println!("  {trouble}"));
+fn print_faults(seed_faults: &[Fault]) {
+    seed_faults.iter().for_each(|fault| println!("  {fault}"));
 }
 
-fn kinds(names: Option<&str>) -> Result<Vec<Kind>> {
+fn kinds(names: Option<&str>) -> Result<Vec<FaultKind>> {
     match names {
-        Some(names) => {
-            names.split(',').map(|name| name.parse().map_err(|why: String| eyre!(why))).collect()
-        }
-        None => Ok(KINDS.iter().map(|(_, kind)| *kind).collect()),
+        Some(names) => names
+            .split(',')
+            .map(|name| name.parse().map_err(|error: String| eyre!(error)))
+            .collect(),
+        None => Ok(FAULT_KINDS.iter().map(|(_, kind)| *kind).collect()),
     }
 }
 
@@ -111,14 +115,14 @@
         gateways: flags.gateways.unwrap_or(3),
         servers: flags.servers.unwrap_or(4),
         callers: flags.callers.unwrap_or(12),
-        bounds: Bounds::stretched(flags.stretch.unwrap_or(1)),
+        bounds: Bounds::scaled(flags.stretch.unwrap_or(1)),
     };
     ensure!(config.gateways > 0, "--gateways must be 1 or more");
     ensure!(config.servers > 0, "--servers must be 1 or more");
     ensure!(
-        config.length > schedule::CALM_END,
+        config.length > schedule::FAULT_FREE_END,
         "--length-s must be more than {:?}",
-        schedule::CALM_END
+        schedule::FAULT_FREE_END
     );
     Ok(config)
 }
