--- a/crates/bench/src/emulator.rs
+++ b/crates/bench/src/emulator.rs
@@ -243,17 +243,17 @@
 
 /// Simulates a scenario with a policy.
 pub fn simulate(scenario: &Scenario, policy: Policy) -> Outcome {
-    let mut simulate = Simulation::new(scenario, policy);
+    let mut simulation = Simulation::new(scenario, policy);
     for now_ms in (0..scenario.length_ms).step_by(STEP_MS as usize) {
-        simulate.arrive(now_ms);
-        simulate.send_retries(now_ms);
-        simulate.admit_waiting(now_ms);
-        for group in 0..simulate.groups.len() {
-            simulate.step(group, now_ms);
+        simulation.arrive(now_ms);
+        simulation.send_retries(now_ms);
+        simulation.admit_waiting(now_ms);
+        for group in 0..simulation.groups.len() {
+            simulation.step(group, now_ms);
         }
     }
-    simulate.outcome.pass_ms /= f64::from(simulate.passes.max(1));
-    simulate.outcome
+    simulation.outcome.pass_ms /= f64::from(simulation.passes.max(1));
+    simulation.outcome
 }
 
 struct Simulation<'a> {
--- a/crates/bench/tests/emulator.rs
+++ b/crates/bench/tests/emulator.rs
@@ -13,7 +13,7 @@
 
 fn scenario(name: &str) -> Scenario {
     let found = scenarios().into_iter().find(|(other, _)| other == name);
-    found.unwrap_or_else(|| panic!("no scene {name}")).1
+    found.unwrap_or_else(|| panic!("no scenario {name}")).1
 }
 
 #[test]
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -133,7 +133,7 @@
 fn fate(fate: AttemptFate) -> &'static str {
     match fate {
         AttemptFate::NotSent => "it was not reached",
-        AttemptFate::NotRun => "it said that it did not run the request",
+        AttemptFate::NotRun => "it reported that it did not run the request",
         AttemptFate::MayHaveRun => "no complete answer was received, so it may have run",
         AttemptFate::Failed => "it answered that it failed",
     }
@@ -152,7 +152,7 @@
     match last {
         RequestStep::Refused(step) => {
             let ran = match step.verdict {
-                Verdict::NotRun => "It did not run, and the caller was told so.",
+                Verdict::NotRun => "It did not run, and the caller got this guarantee.",
                 Verdict::MayHaveRun | Verdict::Ran => {
                     "It may have run, so it was not retried and the caller got no guarantee."
                 }
@@ -163,11 +163,11 @@
             "The caller got the server's own failure.".to_owned()
         }
         RequestStep::Leave(step) if step.next != NextStep::Again => {
-            "The caller's connection was closed in the middle of the stream: no attempt or no repeat \
+            "The caller's connection was closed in the middle of the stream: no attempt or no retry \
              was left, or the route does not let streams be resumed."
                 .to_owned()
         }
-        _ => "No later line tells of it: the next server answered.".to_owned(),
+        _ => "No later line is about it: the next server answered.".to_owned(),
     }
 }
 
@@ -182,8 +182,8 @@
         Cause::BackendFailed | Cause::DeadlinePassed => {
             "Look whether other requests name the same servers at that time."
         }
-        Cause::Leaving => "The gateway was stopping; another one takes it at once.",
+        Cause::Leaving => "The gateway was stopping; another one accepts the request at once.",
         Cause::NotReady => "The gateway had no configuration yet: look for `store lost`.",
-        _ => "The cause says why.",
+        _ => "The cause gives the reason.",
     }
 }
--- a/crates/soak/src/backends.rs
+++ b/crates/soak/src/backends.rs
@@ -23,8 +23,9 @@
 use crate::network;
 use crate::schedule::FaultKind;
 
-/// Time for which the row of a leaving server stays in the store. The server runs on after it.
-const LISTED_AS_LEAVING: Duration = Duration::from_secs(2);
+/// Time for which the row of a leaving server stays in the store. The server continues to run after
+/// that.
+const LEAVING_ROW_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Back-off texts that servers send: valid times and invalid texts.
 const BACK_OFF_VALUES: [&str; 6] = ["3", "1.5", "0.4", "8", "-1", "soon"];
@@ -151,8 +152,8 @@
         };
         let Some(snapshot) = snapshot else { return };
         self.drills.set(self.drills.get() + 1);
-        let mood = [Mode::Busy, Mode::Unresponsive][target % 2];
-        self.set_mood_for(mood, duration).await;
+        let mode = [Mode::Busy, Mode::Unresponsive][target % 2];
+        self.set_mode_for(mode, duration).await;
         let lost = self.store.restore(&snapshot);
         self.drills.set(self.drills.get() - 1);
         // Rows lost in the previous drill are not yet written again by then.
@@ -199,9 +200,9 @@
     /// Injects a fault into the store or a server, and waits until the fault has ended.
     pub async fn inject(self: &Rc<Self>, kind: FaultKind, target: usize, duration: Duration) {
         match kind {
-            FaultKind::StoreBusy => self.set_mood_for(Mode::Busy, duration).await,
-            FaultKind::StoreSilent => self.set_mood_for(Mode::Unresponsive, duration).await,
-            FaultKind::StoreLosesAnswers => self.set_mood_for(Mode::LosesAnswers, duration).await,
+            FaultKind::StoreBusy => self.set_mode_for(Mode::Busy, duration).await,
+            FaultKind::StoreSilent => self.set_mode_for(Mode::Unresponsive, duration).await,
+            FaultKind::StoreLosesAnswers => self.set_mode_for(Mode::LosesAnswers, duration).await,
             FaultKind::StoreForgets => self.store.discard_history(),
             FaultKind::StoreDrill => self.drill(target, duration).await,
             FaultKind::ServerMute
@@ -235,14 +236,14 @@
         endpoint
     }
 
-    fn set_moods(&self, mood: Mode) {
-        self.store_endpoints.borrow().iter().for_each(|endpoint| endpoint.set_mode(mood));
+    fn set_modes(&self, mode: Mode) {
+        self.store_endpoints.borrow().iter().for_each(|endpoint| endpoint.set_mode(mode));
     }
 
-    async fn set_mood_for(&self, mood: Mode, duration: Duration) {
-        self.set_moods(mood);
+    async fn set_mode_for(&self, mode: Mode, duration: Duration) {
+        self.set_modes(mode);
         time::sleep(duration).await;
-        self.set_moods(Mode::Normal);
+        self.set_modes(Mode::Normal);
     }
 
     async fn inject_server_fault(
@@ -253,7 +254,7 @@
         duration: Duration,
     ) {
         let ProxiedServer { server, proxy } = proxied;
-        let act = match kind {
+        let action = match kind {
             FaultKind::ServerRefuses => Action::Refuse,
             FaultKind::ServerFails => Action::Fail,
             FaultKind::ServerLosesAnswers => Action::LoseAnswer,
@@ -272,7 +273,7 @@
             FaultKind::ServerCrash => return self.crash(&server, duration).await,
             _ => return network::inject(&proxy, kind, duration).await,
         };
-        server.set_default_action(act);
+        server.set_default_action(action);
         time::sleep(duration).await;
         server.set_default_action(Action::Work);
     }
@@ -310,9 +311,9 @@
 
     /// Removes the row of a leaving server after some time.
     async fn remove_later(&self, server: &Server) {
-        time::sleep(LISTED_AS_LEAVING).await;
+        time::sleep(LEAVING_ROW_LIFETIME).await;
         self.store.remove("servers", &server.id);
-        // The server runs on beyond the drain bound, so that late requests to it are detected.
+        // The server runs beyond the drain bound, so that late requests to it are detected.
         let server = server.clone();
         let shutdown_delay = self.ledger.bounds.drain * 4;
         task::spawn_local(async move {
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -37,7 +37,7 @@
 /// Pause between two requests of one caller.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
 
-/// Pause between two attempts of a request that crashes servers.
+/// Pause between two requests with the same body, which crashes servers.
 const CRASH_PAUSE_MS: std::ops::Range<u64> = 50..500;
 
 /// Cause with which a gateway refuses a request that crashes servers.
@@ -124,14 +124,14 @@
     pub async fn run(mut self) {
         while self.context.running.get() {
             if self.refresh_at <= Instant::now() || self.addresses.is_empty() {
-                self.ask_endpoints().await;
+                self.fetch_endpoints().await;
             }
-            let again = match self.choose() {
+            let retry = match self.choose() {
                 Some(gateway) => self.request(gateway).await,
                 None => false,
             };
             // Half of the retries follow without a pause.
-            if !again || self.rng.random_bool(0.5) {
+            if !retry || self.rng.random_bool(0.5) {
                 time::sleep(Duration::from_millis(self.rng.random_range(PAUSE_MS))).await;
             }
         }
@@ -142,25 +142,25 @@
         (count > 0).then(|| self.addresses[self.rng.random_range(0..count)])
     }
 
-    async fn ask_endpoints(&mut self) {
+    async fn fetch_endpoints(&mut self) {
         let gateways = &self.context.fleet.gateways;
-        let asked = gateways[self.rng.random_range(0..gateways.len())].clone();
-        let Some(given) = caller::endpoints(&self.client, asked.at.endpoints).await else { return };
-        if asked.is_settled() {
-            for named in given.iter().filter_map(|address| self.context.gateway_at(*address)) {
-                self.check_listed(&asked, named);
+        let source = gateways[self.rng.random_range(0..gateways.len())].clone();
+        let Some(list) = caller::endpoints(&self.client, source.at.endpoints).await else { return };
+        if source.is_settled() {
+            for listed in list.iter().filter_map(|address| self.context.gateway_at(*address)) {
+                self.check_listed(&source, listed);
             }
         }
         self.refresh_at = Instant::now() + Duration::from_millis(self.rng.random_range(REFRESH_MS));
-        self.addresses = given;
+        self.addresses = list;
     }
 
-    fn check_listed(&self, asked: &Gateway, named: &Gateway) {
+    fn check_listed(&self, source: &Gateway, listed: &Gateway) {
         let ledger = &self.context.ledger;
-        let Some(off) = named.down_since.get().map(|since| since.elapsed()) else { return };
+        let Some(down) = listed.down_since.get().map(|since| since.elapsed()) else { return };
         ledger.record_check(Guarantee::Named);
-        if off > ledger.bounds.listed {
-            let detail = format!("{} lists {}, down for {off:?}", asked.name, named.name);
+        if down > ledger.bounds.listed {
+            let detail = format!("{} lists {}, down for {down:?}", source.name, listed.name);
             ledger.report(Guarantee::Named, detail);
         }
     }
@@ -223,7 +223,7 @@
     if caller::reports_not_run(&answer) && !caller::is_signed(&answer) {
         let text = answer.text().await.unwrap_or_default();
         if text.contains(CRASHES_SERVERS) {
-            ledger.report(Guarantee::Crashing, format!("{id} is refused: crashes servers"));
+            ledger.report(Guarantee::Crashing, format!("{id} is refused as crashing servers"));
         }
         if text.contains(CRASH_SUSPECT) && !ledger.has_recent_crash() {
             ledger.report(Guarantee::Crashing, format!("{id} is held back, but no server crashed"));
@@ -290,8 +290,8 @@
         let gateway = &context.fleet.gateways[rng.random_range(0..context.fleet.gateways.len())];
         let id = context.next_id();
         context.record_request(&id, !path.starts_with("/once"), gateway.at.callers);
-        let asked = caller::request(&client, gateway.at.callers, path, &id, DEADLINE_MS);
-        let verdict = match asked.body(body.clone()).send().await {
+        let request = caller::request(&client, gateway.at.callers, path, &id, DEADLINE_MS);
+        let verdict = match request.body(body.clone()).send().await {
             Ok(answer) if caller::reports_not_run(&answer) && !caller::is_signed(&answer) => {
                 Verdict::NotRun
             }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -35,7 +35,7 @@
     pub stop: Duration,
     /// From the last fault until all gateways serve.
     pub recovery: Duration,
-    /// From the third crash under a request until all gateways have received its report.
+    /// From the third crash that a request causes until all gateways have received its report.
     pub propagation: Duration,
     /// From a crash until a request that was starting there is no longer held back.
     pub held_back: Duration,
@@ -46,10 +46,10 @@
 }
 
 impl Default for Bounds {
-    /// The service requires 2 s for drains and configurations and 0.5 s for closes. A gateway that
-    /// sends no heartbeats is listed for 3 s, plus the time that gossip needs (2.4 s) at the
-    /// gateway that received its record last. A stop may take 8 s. Requests may cross a back-off
-    /// notice for 0.5 s. The other bounds allow for a busy machine.
+    /// The service requires 2 s for drains and configurations and 0.5 s for closes. A gateway
+    /// without heartbeats is listed for 3 s, plus the time that gossip needs (2.4 s) at the gateway
+    /// that received its record last. A stop may take 8 s. Requests sent before the gateway has a
+    /// back-off notice may arrive 0.5 s after it. The other bounds allow for a busy machine.
     fn default() -> Self {
         Bounds {
             drain: Duration::from_secs(3),
@@ -114,7 +114,7 @@
     FaultKind::ServerNamesLimit,
 ];
 
-/// Further ones for limits: the start or end of a gateway does not excuse other gateways.
+/// Further faults during which limits are checked: the start or end of a gateway excuses no other.
 const ALLOWED_FOR_LIMITS: [FaultKind; 4] =
     [FaultKind::Kill, FaultKind::Off, FaultKind::KillAll, FaultKind::Stop];
 
@@ -255,11 +255,12 @@
     crashes: u32,
     /// When it crashed a server for the third time.
     threshold_at: Option<Instant>,
-    /// Arrivals at servers after all gateways had time to receive the crashes.
+    /// Arrivals at servers after all gateways had time to receive the crash reports.
     late_arrivals: u32,
 }
 
-/// Crashes that identify a crashing request, and arrivals allowed later; required of the service.
+/// Number of crashes that identify a crashing request, and of arrivals that are allowed after all
+/// gateways had time to receive the crash reports: both are required of the service.
 const CRASH_THRESHOLD: u32 = 3;
 const MAX_LATE_ARRIVALS: u32 = 3;
 
@@ -407,7 +408,7 @@
         self.servers.borrow_mut().push(watched);
     }
 
-    /// Records that a server leaves, which is now stored.
+    /// Records that a server leaves; called once the store shows it.
     pub fn mark_leaving(&self, id: &str) {
         let mut servers = self.servers.borrow_mut();
         if let Some(watched) = servers.iter_mut().find(|watched| watched.server.id == id) {
@@ -520,8 +521,8 @@
         if let Some(since) = leaving.filter(|since| arrival.at > *since + self.bounds.drain)
             && self.no_faults_since(since)
         {
-            let late = arrival.at.duration_since(since);
-            self.report(Guarantee::Drain, format!("{} was sent {id} {late:?} late", server.id));
+            let after = arrival.at.duration_since(since);
+            self.report(Guarantee::Drain, format!("{} got {id} {after:?} after notice", server.id));
         }
         if let Verdict::Left(at) = request.verdict
             && arrival.at > at + self.bounds.close
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -134,7 +134,7 @@
         let named = FAULT_KINDS.iter().find(|(name, _)| *name == text);
         named.map(|(_, kind)| *kind).ok_or_else(|| {
             let names: Vec<&str> = FAULT_KINDS.iter().map(|(name, _)| *name).collect();
-            format!("`{text}` is no fault; there are {}", names.join(", "))
+            format!("`{text}` is not a fault; the faults are {}", names.join(", "))
         })
     }
 }
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -122,14 +122,14 @@
         server.set_default_action(Action::Hang);
         ledger.record_request("r1", true);
         let target = server.clone();
-        let asks = tokio::task::spawn_local(async move { send_request(&target, "r1").await });
+        let sending = tokio::task::spawn_local(async move { send_request(&target, "r1").await });
         while server.unfinished().is_empty() {
             tokio::task::yield_now().await;
         }
         assert_eq!(violated(&ledger), []);
         ledger.record_verdict("r1", Verdict::Left(Instant::now()));
         assert_eq!(violated(&ledger), [Guarantee::Close]);
-        asks.abort();
+        sending.abort();
         server.caller_left.notified().await;
         assert_eq!(violated(&ledger), [Guarantee::Close], "once");
     });
@@ -170,8 +170,8 @@
         let bounds = Bounds { back_off: Duration::ZERO, ..Bounds::default() };
         let ledger = Ledger::new(bounds);
         let server = start_server(&ledger).await;
-        let asks = ["30", "soon"].map(|text| Action::RefuseWithBackOff(text.to_owned()));
-        server.queue_actions(asks);
+        let refusals = ["30", "soon"].map(|text| Action::RefuseWithBackOff(text.to_owned()));
+        server.queue_actions(refusals);
         let (one, other) = (
             GatewayIncarnation { index: 0, incarnation: 1 },
             GatewayIncarnation { index: 1, incarnation: 1 },
--- a/crates/soak/tests/schedules.rs
+++ b/crates/soak/tests/schedules.rs
@@ -45,5 +45,5 @@
         assert_eq!(kind.to_string(), name);
     }
     let error = "flood".parse::<FaultKind>().unwrap_err();
-    assert!(error.contains("`flood` is no fault; there are kill, off,"), "{error}");
+    assert!(error.contains("`flood` is not a fault; the faults are kill, off,"), "{error}");
 }
