--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,6 +1,6 @@
-//! Callers: clients that fetch the list of gateways, keep connections, wait, disconnect and retry.
+//! Callers: clients that fetch the list of gateways, keep connections, and wait or disconnect.
 //! Input: a seed, the running system. State: the list of gateways and the random generator.
-//! Decides which request goes to which gateway, and the verdict on each answer.
+//! Decides which request goes to which gateway and how soon, and the verdict on each answer.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -126,12 +126,12 @@
             if self.refresh_at <= Instant::now() || self.addresses.is_empty() {
                 self.fetch_endpoints().await;
             }
-            let retry = match self.choose() {
+            let failed = match self.choose() {
                 Some(gateway) => self.request(gateway).await,
                 None => false,
             };
-            // Half of the retries follow without a pause.
-            if !retry || self.rng.random_bool(0.5) {
+            // After a failure, half of the next requests follow without a pause.
+            if !failed || self.rng.random_bool(0.5) {
                 time::sleep(Duration::from_millis(self.rng.random_range(PAUSE_MS))).await;
             }
         }
@@ -182,7 +182,7 @@
         RequestSpec { path, repeatable, events, disconnects_after }
     }
 
-    /// Sends a request, and returns whether the caller retries.
+    /// Sends a request; returns whether it failed: refused as not run, or with an unknown outcome.
     async fn request(&mut self, gateway: SocketAddr) -> bool {
         let (spec, id) = (self.draw_request(), self.context.next_id());
         let (ledger, sent_at) = (self.context.ledger.clone(), Instant::now());
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`fleet`]: the gateway processes and signals to them; it stops only processes that it started.
 //! - [`backends`]: the store and the backend servers, and their faults.
 //! - [`network`]: faults of the connections between gateways and these.
-//! - [`callers`]: the clients that send requests, wait, disconnect and retry.
+//! - [`callers`]: the clients that send requests, and wait for answers or disconnect.
 //! - [`ledger`]: the answers to callers, the requests that servers ran, and the checks of the
 //!   guarantees.
 //! - [`limits`]: the rates that servers advertise as their limits, and the rates that they receive.
