--- a/crates/embedded/src/caller.rs
+++ b/crates/embedded/src/caller.rs
@@ -74,7 +74,7 @@
         self.post(&format!("/services/{service}/{path}")).body(body)
     }
 
-    /// Gets a request key for calls to a service that must not run twice.
+    /// Gets a request key, under which a call to the service runs at most once.
     ///
     /// # Errors
     ///
@@ -127,7 +127,7 @@
     let mut text = String::new();
     loop {
         match response.chunk().await {
-            Ok(Some(piece)) => text.push_str(&String::from_utf8_lossy(&piece)),
+            Ok(Some(chunk)) => text.push_str(&String::from_utf8_lossy(&chunk)),
             Ok(None) => return Ok(Outcome::Whole(text)),
             Err(_) => return Ok(Outcome::Truncated(text)),
         }
--- a/crates/embedded/tests/configuration.rs
+++ b/crates/embedded/tests/configuration.rs
@@ -40,8 +40,8 @@
     json!({ "service": "hints", "data_centre": "dar-1", "weight": weight })
 }
 
-/// The store goes down once `entry-1` has an accepted edit. The other processes may not have read
-/// it by then, and receive it from their peers.
+/// The store goes down as soon as an accepted edit is in force at `entry-1`. Processes that have
+/// not read the edit by then must receive it from their peers.
 #[tokio::test]
 async fn the_store_goes_down_right_after_an_acceptance() {
     let fleet = deployment(2).await;
--- a/crates/embedded/tests/failures.rs
+++ b/crates/embedded/tests/failures.rs
@@ -157,9 +157,9 @@
             finish(once(caller(&fleet, gateway).chat("hints", &marker, 2, true), &key))
         });
         let outcomes = futures_util::future::join_all(calls).await;
-        let whole =
+        let complete =
             outcomes.iter().filter(|outcome| matches!(outcome, Ok(Outcome::Whole(_)))).count();
-        assert_eq!(whole, 1, "{outcomes:?}");
+        assert_eq!(complete, 1, "{outcomes:?}");
         let started = |name: &str| fleet.engine(name).ledger.entry(&marker).started;
         assert_eq!(started("hints-1") + started("hints-2"), 1);
     }
@@ -280,8 +280,8 @@
             fleet.engine(name).set_behaviour(Behaviour::default());
         }
     };
-    let (cut_off, ()) = tokio::join!(leaving, release);
-    assert_eq!(cut_off, 0);
+    let (unfinished, ()) = tokio::join!(leaving, release);
+    assert_eq!(unfinished, 0);
     for (number, call) in calls.into_iter().enumerate() {
         let outcome = call.await.unwrap().unwrap();
         let Outcome::Whole(text) = outcome else { panic!("{outcome:?}") };
@@ -305,8 +305,8 @@
             old.get("/v1/endpoints?service=hints").send().await.unwrap().json().await.unwrap();
         answer["endpoints"].as_array().unwrap().len()
     };
-    let (cut_off, offered) = tokio::join!(leaving, calls);
-    assert_eq!(cut_off, 0);
+    let (unfinished, offered) = tokio::join!(leaving, calls);
+    assert_eq!(unfinished, 0);
     assert_eq!(offered, 1, "the leaving gateway names only the other one");
     assert!(matches!(stream.await.unwrap().unwrap(), Outcome::Whole(_)));
 }
--- a/crates/fakes/src/app.rs
+++ b/crates/fakes/src/app.rs
@@ -58,16 +58,16 @@
     ledger: &Ledger,
 ) -> warp::reply::Response {
     ledger.start(marker);
-    let gathered = body
-        .try_fold(BytesMut::new(), |mut whole, mut piece| async move {
-            whole.extend_from_slice(&piece.copy_to_bytes(piece.remaining()));
-            Ok(whole)
+    let result = body
+        .try_fold(BytesMut::new(), |mut collected, mut chunk| async move {
+            collected.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
+            Ok(collected)
         })
         .await;
-    match gathered {
-        Ok(whole) => {
+    match result {
+        Ok(collected) => {
             ledger.finish(marker);
-            whole.to_vec().into_response()
+            collected.to_vec().into_response()
         }
         Err(_) => StatusCode::BAD_REQUEST.into_response(),
     }
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -136,8 +136,8 @@
                 if let MapOrderKind::Stage(stage) = &order.kind {
                     member.staged = Some((map, stage.experts.clone()));
                 }
-                let whole = !member.fails_loads;
-                member.rank.loaded(map, whole)
+                let succeeded = !member.fails_loads;
+                member.rank.loaded(map, succeeded)
             }
         };
         let decided = member.rank.state().armed.filter(|armed| armed.committed);
--- a/crates/hooktrestle/examples/quickstart.rs
+++ b/crates/hooktrestle/examples/quickstart.rs
@@ -117,13 +117,14 @@
     let caller = Caller::new(&fleet.url("entry-1"), KEY)?;
     let mut response = caller.chat("hints", "clue", 12, true).send().await?;
     println!("a streamed answer:");
-    let mut whole = false;
-    while let Some(piece) = response.chunk().await? {
-        let text = String::from_utf8_lossy(&piece).into_owned();
-        whole |= text.contains("[DONE]");
+    let mut is_complete = false;
+    while let Some(chunk) = response.chunk().await? {
+        let text = String::from_utf8_lossy(&chunk).into_owned();
+        is_complete |= text.contains("[DONE]");
         print!("{text}");
     }
-    let end = if whole { Outcome::Whole(String::new()) } else { Outcome::Truncated(String::new()) };
+    let end =
+        if is_complete { Outcome::Whole(String::new()) } else { Outcome::Truncated(String::new()) };
     tally.count(&end);
     Ok(())
 }
--- a/crates/hooktrestled/src/acceptor.rs
+++ b/crates/hooktrestled/src/acceptor.rs
@@ -1,6 +1,6 @@
 //! Accepts the operators' edits as the next configuration. Its input is the rows and the head row
-//! of the store; its state is the newest revision without effect. [`acceptance::merge`] decides
-//! which edits take effect; the acceptor stores the result.
+//! of the store; its state is the revision up to which edits had no effect. [`acceptance::merge`]
+//! decides which edits take effect; the acceptor stores the result.
 //!
 //! Every gateway runs an acceptor, without a leader. The transaction is conditional on the head
 //! row, so one of several concurrent acceptors commits, and the others start again from the new
@@ -85,8 +85,8 @@
 #[derive(Debug)]
 pub struct Acceptor {
     platform: Platform,
-    /// Edits up to this revision had no effect.
-    seen_revision: u64,
+    /// Edits up to this revision were checked, and had no effect.
+    checked_revision: u64,
 }
 
 /// The head row's content and version, and its snapshot.
@@ -100,19 +100,19 @@
 impl Acceptor {
     /// An acceptor that has read no edits yet.
     pub fn new(platform: Platform) -> Acceptor {
-        Acceptor { platform, seen_revision: 0 }
+        Acceptor { platform, checked_revision: 0 }
     }
 
     /// Polls the rows once, and accepts the edits.
     ///
     /// # Errors
     ///
-    /// The store cannot be used. If the transaction itself failed, the edits may have been
+    /// The store is unavailable. If the transaction itself failed, the edits may have been
     /// accepted; the next poll detects that.
     pub async fn accept(&mut self) -> Result<Accepted> {
         let head = read_head(&self.platform).await?;
         let since = head.as_ref().map_or(0, |(head, _)| head.rows_revision);
-        let scan = self.platform.rows(ROWS, since.max(self.seen_revision)).await?;
+        let scan = self.platform.rows(ROWS, since.max(self.checked_revision)).await?;
         if scan.rows.is_empty() {
             return Ok(Accepted::Nothing);
         }
@@ -122,7 +122,7 @@
         let known = self.platform.rows(ROW_ERRORS, 0).await?.rows;
         let error_writes = error_writes(&outcome, &edits, &known);
         if !outcome.changed && error_writes.is_empty() {
-            self.seen_revision = scan.revision;
+            self.checked_revision = scan.revision;
             return Ok(Accepted::Nothing);
         }
         self.commit(base, outcome, error_writes, scan.revision).await
--- a/crates/hooktrestled/src/gateway.rs
+++ b/crates/hooktrestled/src/gateway.rs
@@ -166,9 +166,9 @@
         self.shared.leaving.send_replace(true);
         let keep = settings::millis(self.shared.settings.keep_endpoints_ms).min(within);
         tokio::time::sleep(keep).await;
-        let cut_off = drain::until_idle(self.shared.in_flight.subscribe(), within - keep).await;
+        let unfinished = drain::until_idle(self.shared.in_flight.subscribe(), within - keep).await;
         self.shared.traces.flush();
-        cut_off
+        unfinished
     }
 
     /// Waits until links to at least `servers` backend servers of a service are open.
--- a/crates/hooktrestled/src/gateway/drive.rs
+++ b/crates/hooktrestled/src/gateway/drive.rs
@@ -493,7 +493,8 @@
 
     async fn send_frame(&mut self, frame: Frame) {
         if let Some(current) = &self.current {
-            // An error means that the link is lost; the sidecar detects that too.
+            // An error means that the link is lost. The sidecar detects that too, and aborts the
+            // attempt.
             let _ = current.handle.sender.send(&frame, &[]).await;
         }
     }
--- a/crates/hooktrestled/src/gateway/http.rs
+++ b/crates/hooktrestled/src/gateway/http.rs
@@ -209,8 +209,8 @@
 {
     let in_force = in_force(&shared)?;
     let account = account(&in_force, &call.headers)?;
-    let rest = call.path.strip_prefix(SERVICES_PATH).unwrap_or_default();
-    let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
+    let remainder = call.path.strip_prefix(SERVICES_PATH).unwrap_or_default();
+    let (service, path) = remainder.split_once('/').unwrap_or((remainder, ""));
     let service = service.to_owned();
     let path = match &call.query {
         Some(query) => format!("/{path}?{query}"),
@@ -456,14 +456,14 @@
     B: Buf,
 {
     let mut chunks = std::pin::pin!(chunks(body));
-    let mut complete = Vec::new();
+    let mut collected = Vec::new();
     let truncated = |_| Problem::bad_request("the body was cut off");
     while let Some(chunk) = chunks.try_next().await.map_err(truncated)? {
-        complete.extend_from_slice(&chunk);
-        if complete.len() as u64 > limit_bytes {
+        collected.extend_from_slice(&chunk);
+        if collected.len() as u64 > limit_bytes {
             let message = Some(format!("the body is over {limit_bytes} bytes"));
             return Err(Problem { refusal: Refusal::not_run(Cause::TooLarge), message });
         }
     }
-    Ok(complete.into())
+    Ok(collected.into())
 }
--- a/crates/hooktrestled/src/gateway/router.rs
+++ b/crates/hooktrestled/src/gateway/router.rs
@@ -42,7 +42,7 @@
     sidecar_now: Millis,
 }
 
-/// The actor.
+/// The actor that chooses backend servers.
 #[derive(Debug, xtra::Actor)]
 pub(crate) struct Router {
     context: links::Context,
--- a/crates/hooktrestled/src/main.rs
+++ b/crates/hooktrestled/src/main.rs
@@ -63,7 +63,7 @@
 
 async fn run(settings: &Settings) -> Result<ExitCode> {
     let within = std::time::Duration::from_millis(settings.instance.stop_within_ms);
-    let cut_off = match settings.instance.role {
+    let unfinished = match settings.instance.role {
         DaemonRole::Gateway => {
             let gateway = Gateway::start(settings).await?;
             wait_for_stop().await?;
@@ -75,8 +75,8 @@
             sidecar.leave(within).await
         }
     };
-    if cut_off > 0 {
-        warn!("stopped with requests in flight", kv: { cut_off });
+    if unfinished > 0 {
+        warn!("stopped with requests in flight", kv: { unfinished });
         return Ok(ExitCode::FAILURE);
     }
     info!("stopped; all requests had ended");
--- a/crates/hooktrestled/src/sidecar.rs
+++ b/crates/hooktrestled/src/sidecar.rs
@@ -34,6 +34,7 @@
 use crate::process::Process;
 use crate::settings;
 use crate::traces::Traces;
+
 pub use dispatch_actor::DispatchActor;
 
 /// Limits that are in force until the configuration sets them.
@@ -131,7 +132,7 @@
             actor: actor.clone(),
             sync_task,
             config: config.clone(),
-            heartbeat: settings::millis(settings.links.heartbeat_ms),
+            heartbeat_interval: settings::millis(settings.links.heartbeat_ms),
         };
         let listening = tokio::spawn(links::accept_all(listener, context)).abort_handle();
         let leadership = tokio::spawn(leadership).abort_handle();
@@ -158,12 +159,12 @@
     ///
     /// Returns the number of requests that were still running after `within`.
     pub async fn leave(&self, within: Duration) -> usize {
-        let cut_off = match self.actor.send(dispatch_actor::Leave).await {
+        let unfinished = match self.actor.send(dispatch_actor::Leave).await {
             Ok(running) => drain::until_idle(running, within).await,
             Err(_) => 0,
         };
         self.traces.flush();
-        cut_off
+        unfinished
     }
 }
 
--- a/crates/hooktrestled/src/sidecar/dispatch_actor.rs
+++ b/crates/hooktrestled/src/sidecar/dispatch_actor.rs
@@ -89,7 +89,7 @@
     pub(super) job: Job,
 }
 
-/// A gateway cancels a request: its caller has disconnected.
+/// A gateway cancels a request: the caller has disconnected or has got its final answer.
 #[derive(Debug)]
 pub(super) struct Cancel(pub(super) Link, pub(super) RequestId);
 
--- a/crates/hooktrestled/src/sidecar/group.rs
+++ b/crates/hooktrestled/src/sidecar/group.rs
@@ -117,7 +117,8 @@
     }
 }
 
-/// The group of this sidecar's rank; `None` if its service places no experts.
+/// The group of this sidecar's rank. `None` if the configuration does not name this sidecar, or if
+/// its service places no experts.
 fn group(context: &Context) -> Option<Group> {
     let in_force = context.config.borrow().clone()?;
     let config = &in_force.config;
--- a/crates/hooktrestled/src/sidecar/links.rs
+++ b/crates/hooktrestled/src/sidecar/links.rs
@@ -45,7 +45,7 @@
     pub(super) actor: Address<DispatchActor>,
     pub(super) sync_task: Address<ConfigSync>,
     pub(super) config: config_sync::Watch,
-    pub(super) heartbeat: Duration,
+    pub(super) heartbeat_interval: Duration,
     pub(super) backend: Backend,
 }
 
@@ -113,7 +113,7 @@
         if sender.send(&Frame::Load(load), &[]).await.is_err() {
             return;
         }
-        tokio::time::sleep(context.heartbeat).await;
+        tokio::time::sleep(context.heartbeat_interval).await;
     }
 }
 
@@ -196,17 +196,17 @@
 }
 
 fn job(frame: RequestFrame, sender: &Sender) -> (Job, OpenRequest) {
-    let (body, pieces) = mpsc::unbounded_channel();
+    let (body, chunks) = mpsc::unbounded_channel();
     let credit = Arc::new(Semaphore::new(0));
     add_credit(&credit, frame.credit_bytes);
     let open_request = OpenRequest { body, credit: Arc::clone(&credit) };
-    (Job { frame, sender: sender.clone(), body: Some(pieces), credit }, open_request)
+    (Job { frame, sender: sender.clone(), body: Some(chunks), credit }, open_request)
 }
 
 /// Adds credit, bounded by the capacity of a semaphore, so that a peer cannot cause a panic.
 fn add_credit(credit: &Semaphore, more_bytes: u64) {
-    let room = Semaphore::MAX_PERMITS - credit.available_permits();
-    let more = usize::try_from(more_bytes).unwrap_or(usize::MAX).min(room / 2);
+    let max_additional = Semaphore::MAX_PERMITS - credit.available_permits();
+    let more = usize::try_from(more_bytes).unwrap_or(usize::MAX).min(max_additional / 2);
     credit.add_permits(more);
 }
 
--- a/crates/hooktrestled/src/sidecar/run.rs
+++ b/crates/hooktrestled/src/sidecar/run.rs
@@ -123,7 +123,7 @@
         response.json().await.unwrap_or(MapReply::Silent)
     }
 
-    /// Number of tokens of each expert since the start of the backend server's engine.
+    /// Number of tokens of each expert since the engine of the rank started.
     pub(super) async fn counts(&self) -> Result<ExpertCounts> {
         let url = format!("{}/control/counts", self.base_url);
         let response = self.http.get(url).send().await?.error_for_status()?;
@@ -189,9 +189,9 @@
     let bytes = stream::unfold(state, |state| async move {
         let (mut chunks, sender, id) = state?;
         let Some(chunk) = chunks.recv().await else {
-            let cut_off =
+            let truncated =
                 std::io::Error::other("request body truncated: link closed or request cancelled");
-            return Some((Err(cut_off), None));
+            return Some((Err(truncated), None));
         };
         let credit = CreditFrame { id: id.clone(), more_bytes: chunk.bytes.len() as u64 };
         // If the link is closed, the channel of the chunks ends too.
--- a/crates/link/src/codec.rs
+++ b/crates/link/src/codec.rs
@@ -18,7 +18,7 @@
 const DEPTH_LIMIT: usize = 16;
 
 /// Capacity reserved for a frame without its payload.
-const FRAME_ROOM_BYTES: usize = 256;
+const FRAME_CAPACITY_BYTES: usize = 256;
 
 /// Encodes a message.
 ///
@@ -26,7 +26,7 @@
 ///
 /// Never: every frame is representable in CBOR, and writing to memory does not fail.
 pub fn encode(frame: &Frame, payload: &[u8]) -> Bytes {
-    let mut writer = BytesMut::with_capacity(FRAME_ROOM_BYTES + payload.len()).writer();
+    let mut writer = BytesMut::with_capacity(FRAME_CAPACITY_BYTES + payload.len()).writer();
     ciborium::into_writer(frame, &mut writer).expect("a frame is representable in CBOR");
     let mut message = writer.into_inner();
     message.extend_from_slice(payload);
--- a/crates/link/tests/codec.rs
+++ b/crates/link/tests/codec.rs
@@ -63,9 +63,9 @@
         payload in proptest::collection::vec(any::<u8>(), 0..500),
     ) {
         let frame = body(number, attempt, sequence, last);
-        let (decoded, rest) = codec::decode(codec::encode(&frame, &payload)).unwrap();
+        let (decoded, decoded_payload) = codec::decode(codec::encode(&frame, &payload)).unwrap();
         prop_assert_eq!(decoded, frame);
-        prop_assert!(rest == payload);
+        prop_assert!(decoded_payload == payload);
     }
 }
 
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -5,7 +5,7 @@
 //! The generated code is committed, so that a build needs no generator; `cargo xtask generate`
 //! writes it again.
 //!
-//! - Links between processes: [`Frame`] and what it holds.
+//! - Links between processes: [`Frame`] and the types of its fields.
 //! - The operators' table: [`ServiceRow`], [`AccountRow`], [`BackendServerRow`],
 //!   [`DataCentreRow`]; an accepted set of them is a [`Snapshot`].
 //! - The platform's services: [`Transaction`], [`TableRow`], [`Instance`].
--- a/crates/schema/src/range.rs
+++ b/crates/schema/src/range.rs
@@ -1,9 +1,9 @@
-//! Checks values against the names, types, units and ranges in the schema files. Input: JSON
-//! objects and texts from INI and CSV files. State: the parsed schema. Decides whether a value is
-//! valid.
+//! Checks values against the names, types and ranges in the schema files.
+//! Input: JSON objects, and texts from INI and CSV files. State: the parsed schema.
+//! Decides whether a value is valid.
 //!
 //! Generated types accept any number of the right width. This module reads the schema itself, so
-//! that an error names the field, its range and the most similar known name.
+//! that an error names the field, its range with the unit, and the most similar known name.
 
 use std::fmt;
 use std::sync::OnceLock;
@@ -143,7 +143,7 @@
 }
 
 fn is_allowed(field: &Field, text: &str) -> bool {
-    field.allowed_values.is_empty() || field.allowed_values.iter().any(|word| word == text)
+    field.allowed_values.is_empty() || field.allowed_values.iter().any(|allowed| allowed == text)
 }
 
 fn expected(field: &Field) -> String {
