--- a/crates/hooktrestled/src/sidecar/group/session.rs
+++ b/crates/hooktrestled/src/sidecar/group/session.rs
@@ -64,13 +64,13 @@
     leader: Leader,
     members: Vec<Member>,
     replies: mpsc::UnboundedReceiver<(usize, MapReply)>,
-    replied: mpsc::UnboundedSender<(usize, MapReply)>,
+    reply_sender: mpsc::UnboundedSender<(usize, MapReply)>,
     heartbeat_version: u64,
 }
 
 impl Session {
     pub(super) fn new(context: &Context, ballot: Ballot, members: &[String]) -> Session {
-        let (replied, replies) = mpsc::unbounded_channel();
+        let (reply_sender, replies) = mpsc::unbounded_channel();
         let member = |name: &String| Member {
             name: name.clone(),
             link: None,
@@ -83,7 +83,7 @@
             leader: Leader::new(ballot, members.len()),
             members: members.iter().map(member).collect(),
             replies,
-            replied,
+            reply_sender,
             heartbeat_version: in_force.map_or(0, |now| now.config.version),
         }
     }
@@ -181,7 +181,7 @@
 
     /// The link to a rank's sidecar; opens one if there is none.
     async fn link(&mut self, context: &Context, rank: usize) -> Option<Sender> {
-        let replied = self.replied.clone();
+        let reply_sender = self.reply_sender.clone();
         let heartbeat = HeartbeatFrame { config_version: self.heartbeat_version };
         let member = &mut self.members[rank];
         if let Some(link) = &member.link
@@ -197,7 +197,7 @@
         if peer.identity.instance != member.name {
             return None;
         }
-        let reading = tokio::spawn(read(receiver, rank, replied, sender.clone(), heartbeat));
+        let reading = tokio::spawn(read(receiver, rank, reply_sender, sender.clone(), heartbeat));
         member.link = Some(Link { sender: sender.clone(), reading: reading.abort_handle() });
         Some(sender)
     }
@@ -208,13 +208,13 @@
 async fn read(
     mut receiver: Receiver,
     rank: usize,
-    replied: mpsc::UnboundedSender<(usize, MapReply)>,
+    reply_sender: mpsc::UnboundedSender<(usize, MapReply)>,
     sender: Sender,
     heartbeat: HeartbeatFrame,
 ) {
     while let Ok((frame, _)) = receiver.next().await {
         let is_open = match frame {
-            Frame::MapReply(frame) => replied.send((rank, frame.reply)).is_ok(),
+            Frame::MapReply(frame) => reply_sender.send((rank, frame.reply)).is_ok(),
             Frame::Load(_) => sender.send(&Frame::Heartbeat(heartbeat.clone()), &[]).await.is_ok(),
             _ => true,
         };
