--- a/crates/bench/tests/emulator.rs
+++ b/crates/bench/tests/emulator.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_figures() {
+fn simulations_with_the_same_seed_give_the_same_results() {
     let scenario = scenario("both, 1 of 12 ranks");
     let gateway_policy = Policy::Gateway(admission::Config::default());
     let [one, two] = [simulate(&scenario, gateway_policy), simulate(&scenario, gateway_policy)];
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_calm_group_serves_everybody_in_time() {
+fn a_group_without_stalls_serves_at_least_90_percent_in_time() {
     for (name, scenario) in scenarios().into_iter().filter(|(name, _)| name.starts_with("halts")) {
         let calm = Scenario { stalls: Vec::new(), ..scenario };
         let Outcome { requests, in_time, late, .. } = simulate(&calm, Policy::AdmitAll);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_request_ends_once_at_most() {
+fn outcomes_never_exceed_requests_and_cover_over_80_percent() {
     for (name, scenario) in scenarios() {
         let outcome = simulate(&scenario, Policy::AdmitAll);
         let ended = outcome.in_time + outcome.late + outcome.refused + outcome.timed_out;
@@ -49,7 +49,7 @@
 /// If all requests are admitted, the backlog of a stall persists after it: late retries make first
 /// attempts late. If retries are admitted only while there is room, the backlog ends.
 #[test]
-fn a_backlog_outlives_its_halt_unless_those_that_come_back_yield() {
+fn a_backlog_persists_after_a_stall_unless_retries_yield() {
     for name in ["halts, 1 of 12 ranks", "halts, 1 of 63 ranks"] {
         let scenario = scenario(name);
         let [all, yields] =
--- a/crates/cli/tests/examples.rs
+++ b/crates/cli/tests/examples.rs
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn both_deployments_are_accepted_whole_and_come_back_from_an_export() {
+async fn both_example_deployments_are_accepted_and_survive_export_and_import() {
     for name in ["kivuko", "kettle-pond"] {
         let fleet = Fleet::start().await.unwrap();
         let imported = tool(&fleet, &["import", &example(&format!("{name}/rows.csv"))]);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_settings_are_good_once_filled_in() {
+fn filled_in_settings_templates_are_valid() {
     for template in ["gateway.ini", "sidecar.ini"] {
         let text = std::fs::read_to_string(example(template)).unwrap();
         let filled = text
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_rows_are_refused_with_line_field_and_range_and_nothing_is_written() {
+async fn invalid_rows_are_refused_with_line_field_and_range_and_not_written() {
     let fleet = Fleet::start().await.unwrap();
     let file = std::env::temp_dir().join(format!("{}-bad.csv", std::process::id()));
     std::fs::write(&file, "row,kind,deadline_ms\nservice:a,model,5\nservice:b,model,0\n").unwrap();
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_failed_request_is_told_step_by_step_with_its_end() {
+fn explain_prints_each_step_and_the_outcome_of_a_failed_request() {
     let output = explain(&["r1"]);
     assert!(output.status.success());
     assert_eq!(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_stream_that_went_on_elsewhere_is_no_failure() {
+fn explain_shows_a_request_answered_by_the_next_server() {
     let message = text(&explain(&["r2"]).stdout);
     assert!(
         message.contains(
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn programs_get_json() {
+fn explain_prints_json_on_request() {
     let steps: serde_json::Value =
         serde_json::from_slice(&explain(&["--json", "r1"]).stdout).unwrap();
     assert_eq!(steps.as_array().map(Vec::len), Some(3));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_not_there_or_not_understood_is_said() {
+fn explain_reports_missing_requests_unparsable_lines_and_missing_files() {
     let missing = explain(&["r9"]);
     assert_eq!(missing.status.code(), Some(1));
     assert!(text(&missing.stderr).contains("no log line about request r9"));
--- a/crates/cli/tests/status.rs
+++ b/crates/cli/tests/status.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_is_waited_for_in_every_data_centre() {
+async fn drain_with_wait_reports_the_version_in_every_data_centre() {
     let fleet = fleet().await;
     let drained = tool(&fleet, &["drain", "backend_server:hints-1", "--wait"]).await;
     let message = text(&drained.stdout);
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_row_that_is_left_out_is_said_at_once_and_shown_by_status() {
+async fn a_rejected_row_is_reported_by_set_and_listed_by_status() {
     let fleet = fleet().await;
     let arguments = ["set", "--wait", "backend_server:x", "service=nowhere", "data_centre=dar-1"];
     let refused = tool(&fleet, &arguments).await;
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_does_not_answer_is_named_and_changes_the_exit_status() {
+async fn status_names_an_unreachable_gateway_and_exits_with_3() {
     let fleet = fleet().await;
     let good = tool(&fleet, &["status"]).await;
     assert!(good.status.success(), "{}", text(&good.stderr));
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_clock_goes_on_with_the_steady_one() {
+fn the_process_clock_advances_with_the_monotonic_clock() {
     let clock = ProcessClock::default();
     let before = clock.now();
     let started = std::time::Instant::now();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn who_sleeps_through_a_suspension_wakes_at_the_next_look() {
+fn a_sleep_that_spans_a_suspension_ends_at_the_next_poll() {
     run(async {
         let clock = ProcessClock::with_source(with_suspended_time);
         let due = clock.now() + Millis(60_000);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn without_a_suspension_it_wakes_in_time() {
+fn a_sleep_without_a_suspension_ends_at_its_due_time() {
     run(async {
         let clock = ProcessClock::with_source(with_suspended_time);
         let began = Instant::now();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_is_done_as_the_time_is_over_counts_as_done() {
+fn a_future_that_is_ready_at_the_deadline_does_not_time_out() {
     run(async {
         let clock = ProcessClock::with_source(with_suspended_time);
         let past = clock.now();
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn streams_beyond_what_passes_bear_are_sent_away_one_after_the_other() {
+fn streams_over_the_limit_are_refused_with_increasing_retry_times() {
     let mut admission = observed(20, 150.0);
     let mut retry_times = Vec::new();
     for _ in 0..4 {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_request_whose_turn_comes_in_time_waits() {
+fn a_request_waits_if_room_is_expected_within_its_time() {
     let mut admission = observed(20, 122.0);
     assert_eq!(admission.decide(OBJECTIVE, LEFT_MS, 0.8, NOW), Decision::Waits);
     assert!(!admission.has_room(OBJECTIVE, NOW));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn nothing_is_refused_where_it_is_not_the_streams_that_make_passes_long() {
+fn nothing_is_refused_unless_streams_are_the_cause_of_long_passes() {
     let few = observed(20, 150.0).decide(OBJECTIVE, LEFT_MS, 0.4, NOW);
     assert_eq!(few, Decision::Admitted, "most slots are free");
     let slow_rank = observed(20, 900.0).decide(OBJECTIVE, LEFT_MS, 0.9, NOW);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_group_that_would_collapse_serves_what_it_can_in_time() {
+fn admission_keeps_over_half_of_an_overload_within_the_latency_objective() {
     // Streams that arrive during a pass make the next one longer. With twelve per second the group
     // never catches up.
     assert!(fraction_in_time(5.0, false) > 0.95, "{}", fraction_in_time(5.0, false));
--- a/crates/core/tests/named_limit.rs
+++ b/crates/core/tests/advertised_limits.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn numbers_are_read_and_odd_ones_bounded_or_passed_over() {
+fn rates_are_parsed_with_large_ones_capped_and_invalid_ones_ignored() {
     let read = [
         ("1.3", Some(1_300)),
         (" 2 ", Some(2_000)),
@@ -78,7 +78,7 @@
     }
 
     #[test]
-    fn what_was_said_surely_last_binds_whatever_order_it_is_heard_in(
+    fn the_latest_advertised_limit_is_in_force_in_any_order_of_arrival(
         limits in prop::collection::vec(prop::option::of(0_u64..5_000), 1..6),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn of_answers_that_overtake_each_other_the_lower_limit_binds() {
+fn of_advertisements_with_unknown_order_the_lower_limit_is_in_force() {
     let mut one = with_limit(1_000);
     assert_eq!(
         one.apply(advertisement(Some(4_000), 105, 130)),
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn permits_are_asked_for_once_and_good_for_a_moment() {
+fn permits_are_requested_once_at_a_time_and_expire_after_their_validity() {
     let mut one = with_limit(1_000);
     assert_eq!(one.take(None, Millis(200)), Permission::Ask(1));
     assert_eq!(one.take(None, Millis(201)), Permission::None, "an answer is awaited");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_part_is_handed_to_one_at_a_time() {
+fn a_share_is_delegated_to_one_gateway_at_a_time() {
     let mut one = Permits::new(Millis::ZERO);
     assert!(
         !one.delegate_share(IncarnationId(1), Millis(100)),
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn what_is_given_out_follows_the_parts_and_is_not_saved_up() {
+fn grants_follow_the_delegated_shares_and_do_not_accumulate() {
     let mut one = Permits::new(Millis::ZERO);
     let (server, limit) = (ServerIncarnation(1), Rate { in_1000_s: 8_000 });
     let grant = |permits: &mut Permits, now| {
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_sidecar_starts_what_its_server_takes_and_refuses_at_once_what_would_wait_too_long() {
+fn a_sidecar_paces_starts_to_the_limit_and_refuses_requests_past_their_deadline() {
     for (in_1000_s, per_minute) in [(2_000, 120), (300, 18), (0, 6)] {
         let (started, refused) = paced(in_1000_s, 100, Millis(4_000));
         let within =
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_fleet_stays_within_a_limit_whatever_happens() {
+fn a_fleet_stays_within_an_advertised_limit_under_disturbances() {
     for seed in 0..SEEDS {
         let gateways = [1, 3, 7, 40][seed as usize % 4];
         let limit = LIMITS[seed as usize % LIMITS.len()];
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn what_is_allowed_is_used_also_where_one_gateway_has_all_the_demand() {
+fn most_of_an_advertised_limit_is_used_even_if_one_gateway_has_all_demand() {
     for (seed, limit) in LIMITS.into_iter().enumerate() {
         for gateways in [1, 3, 7, 40] {
             for demand_at_one in [false, true] {
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn the_model_finds_gateways_that_each_allow_the_whole() {
+fn the_model_detects_gateways_that_each_grant_the_whole_limit() {
     for seed in 0..SEEDS {
         let sharing = Sharing::EachTheWhole;
         let setup =
--- a/crates/core/tests/count_deltas.rs
+++ b/crates/core/tests/count_deltas.rs
@@ -33,7 +33,7 @@
 
 proptest! {
     #[test]
-    fn what_is_heard_is_what_the_rank_counted(events in vec(event(), 1..80)) {
+    fn decoded_counts_equal_the_counts_of_the_rank(events in vec(event(), 1..80)) {
         let mut rank = Counts { epoch: 1, pass: 0, counts: vec![0; 3] };
         let mut encoder = DeltaEncoder::new(17);
         let mut decoders = [DeltaDecoder::default(), DeltaDecoder::default()];
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_came_since_a_reading_that_is_not_known_is_not_taken() {
+fn a_delta_to_an_unknown_snapshot_is_not_decoded() {
     let counts = |first| Counts { epoch: 1, pass: 1, counts: vec![first, 5] };
     let mut encoder = DeltaEncoder::new(0);
     let full = encoder.encode(counts(10), 0);
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_third_crash_tells() {
+fn the_third_crash_refuses_the_request() {
     let mut crashes = with_reports(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     assert_eq!(crashes.refused_for(Fingerprint(7), NOW), None);
     // A repeated report is the same crash.
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_ran_beside_it_is_explained_by_it() {
+fn crashes_explained_by_one_request_do_not_count_against_others() {
     // Request 8 was at all three crashes too, but had run for long at the first.
     let reports = [
         crash(1, &[(7, 90), (8, 900), (9, 20)]),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn who_ends_well_did_not_do_it() {
+fn a_completed_request_is_cleared_of_earlier_crashes() {
     let mut crashes = with_reports(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     let later = NOW + Millis(10);
     let cleared = Cleared { fingerprint: Fingerprint(7), age: Millis::ZERO };
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_refusal_ends() {
+fn a_refusal_expires_with_its_reports() {
     let config = Config::default();
     let mut crashes = with_reports(&[crash(1, &[(7, 90)]), crash(2, &[(7, 90)])]);
     let later = NOW + Millis(60_000);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_keeps_the_newest() {
+fn crash_memory_is_bounded_and_keeps_the_newest_reports() {
     let config = Config::default();
     let mut crashes = Crashes::new(config, Reporter(1));
     for server in 0..1_000_u64 {
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn requests_are_told_by_path_account_and_body() {
+fn fingerprints_differ_by_path_account_and_body() {
     let one = Fingerprint::of("/a/b", Some("paper"), b"body");
     assert_eq!(one, Fingerprint::of("/a/b", Some("paper"), b"body"));
     for (path, account, body) in [
@@ -162,7 +162,7 @@
     /// Gateways that received the same reports in any order refuse the same requests, and have no
     /// reports to exchange.
     #[test]
-    fn order_does_not_matter(
+    fn crash_reports_have_the_same_effect_in_any_order(
         reports in vec((0..6_u64, vec((0..5_u64, 0..100_u64), 1..4)), 0..20),
         rotation in any::<Index>(),
     ) {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_fleet_that_hears_late_stops_what_crashes_servers_and_nothing_else() {
+fn a_fleet_with_delayed_reports_refuses_only_requests_that_crash_servers() {
     for seed in 0..SEEDS {
         let outcome = Fleet::new(Plan::from_seed(seed)).run_to_end();
         for (culprit, sent) in outcome.sent_late {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn who_ended_well_before_the_crash_was_heard_of_did_not_do_it() {
+fn a_completion_between_a_crash_and_its_report_clears_the_request() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     crashes.record_completed(Fingerprint(7), NOW);
     let received_at = NOW + Millis(900);
@@ -223,7 +223,7 @@
 /// servers crash within a second and accept connections until the server list drops them. A gateway
 /// that had no request there sends the same request to all three, and takes it as the cause.
 #[test]
-fn what_was_sent_after_an_answer_had_broken_off_elsewhere_did_not_crash_the_server() {
+fn requests_sent_after_a_truncation_at_another_gateway_are_not_refused() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     for server in 1..4 {
         let observed = Crash { age: Millis(2_000), ..crash(server, &[(7, 90)]) };
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn who_was_just_beginning_at_a_crash_is_held_back_until_its_server_can_be_back() {
+fn a_request_starting_at_a_crash_is_held_back_for_a_time_varied_by_gateway() {
     let Config { hold_back, hold_back_spread, .. } = Config::default();
     let mut ends = Vec::new();
     for own in 1..20 {
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn who_got_further_or_ends_well_is_let_go() {
+fn a_held_back_request_is_freed_by_a_later_stage_or_a_completion() {
     let mut crashes = Crashes::new(Config::default(), Reporter(1));
     // A request that had got further did no harm until then, even if it also just began there.
     crashes.record(&at_start(2, 9), NOW);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn the_second_crash_at_its_beginning_tells() {
+fn the_second_crash_in_stage_starting_refuses_the_request() {
     let mut crashes = with_reports(&[at_start(1, 7), crash(2, &[(7, 90)])]);
     assert_eq!(
         crashes.refused_for(Fingerprint(7), NOW),
--- a/crates/core/tests/direct_requests.rs
+++ b/crates/core/tests/direct_requests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn servers_that_leave_or_are_gone_get_no_work() {
+fn leaving_and_unlisted_servers_get_no_requests() {
     let mut pool = pool(&["a", "b", "c"]);
     pool.list(listed("a", 1_000, true), 2);
     pool.unlist("b");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn of_two_servers_at_one_address_the_newer_row_has_it() {
+fn of_two_servers_at_one_address_the_newer_row_is_used() {
     for first_is_older in [true, false] {
         let mut pool = Pool::new(pool::Config::default());
         let mut rows = vec![(listed("dead", 1_000, false), 3), (listed("new", 1_000, false), 9)];
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_server_whose_address_has_another_does_not_get_it_back() {
+fn a_replaced_server_does_not_regain_its_address_by_a_row_change() {
     let mut pool = Pool::new(pool::Config::default());
     pool.list(listed("dead", 1_000, false), 3);
     pool.list(listed("new", 1_000, false), 9);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn whoever_answers_at_an_address_has_it_whatever_the_list_says() {
+fn the_server_that_answers_at_an_address_is_used_despite_newer_rows() {
     let mut pool = Pool::new(pool::Config::default());
     // The table is read after a restart: the row of the dead server changed last.
     pool.list(listed("new", 1_000, false), 9);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_name_that_is_used_again_elsewhere_is_another_server() {
+fn an_id_listed_at_a_new_address_is_chosen_there() {
     let mut pool = pool(&["a", "b"]);
     pool.list(listed("a", 7_000, false), 5);
     pool.unlist("b");
@@ -129,7 +129,7 @@
 /// A server may restart under its previous id. The state of the earlier incarnation does not apply
 /// to the new one, and later reports on the earlier incarnation change nothing.
 #[test]
-fn a_server_that_is_born_anew_under_its_name_is_another_server() {
+fn a_new_incarnation_under_the_same_id_is_another_server() {
     let mut pool = Pool::new(pool::Config::default());
     let incarnation =
         |born, leaving| ListedServer { started_unix_ms: Some(born), ..listed("s", 1_000, leaving) };
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_name_that_another_server_answered_for_is_never_used_again() {
+fn a_server_replaced_at_its_address_is_not_chosen_again() {
     let mut pool = pool(&["a"]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let key = pool.choose("hints", &[], 1.0, Millis(0), &mut rng).unwrap();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_rests_unless_no_other_is_left() {
+fn an_unreachable_server_is_in_cooldown_unless_no_other_is_left() {
     let mut pool = pool(&["a", "b"]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let key = pool.choose("hints", &[], 1.0, Millis(0), &mut rng).unwrap();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn only_what_cannot_have_run_is_refused_as_not_run() {
+fn only_requests_that_cannot_have_run_are_refused_as_not_run() {
     let fates = [Fate::NotSent, Fate::NotRun, Fate::MayHaveRun, Fate::Failed];
     for first in fates {
         for second in fates {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn an_attempt_that_is_out_may_run() {
+fn an_attempt_in_progress_gives_the_verdict_may_have_run() {
     let mut attempts = Attempts::new(2, true);
     attempts.begin();
     assert_eq!(attempts.refuse(Cause::DeadlinePassed).verdict, Verdict::MayHaveRun);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn what_must_not_run_twice_is_not_sent_again_unless_it_did_not_run() {
+fn a_request_that_must_not_run_twice_is_retried_only_if_it_did_not_run() {
     let mut once = Attempts::new(3, false);
     assert_eq!(once.after_failure(key(), Fate::NotRun, || true), Next::Retry);
     assert!(matches!(once.after_failure(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn attempts_and_the_budget_bound_what_is_sent() {
+fn max_attempts_and_the_retry_budget_bound_the_retries() {
     let mut attempts = Attempts::new(2, true);
     assert_eq!(attempts.after_failure(key(), Fate::MayHaveRun, || true), Next::Retry);
     assert!(matches!(attempts.after_failure(key(), Fate::MayHaveRun, || true), Next::GiveUp(_)));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_server_whose_row_comes_back_gets_work_and_keeps_its_turns_apart() {
+fn a_relisted_server_is_unaffected_by_attempts_from_before() {
     let mut pool = pool(&["a", "b", "c"]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let held = pool.choose("hints", &[], 1.0, Millis(0), &mut rng).unwrap();
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn the_newest_finding_of_the_newest_leader_counts() {
+fn the_newest_slow_server_report_of_the_newest_leader_applies() {
     let mut reports = SlowServerReports::default();
     let mut take = |service, fence, number| {
         reports.apply(service, &slow_report(fence, number, 0), Millis::ZERO)
@@ -317,7 +317,7 @@
 
 /// The bounds of a service change after it has taken retries.
 #[test]
-fn changed_bounds_hold_at_once_and_what_was_spent_counts_on() {
+fn a_changed_retry_budget_applies_at_once_and_counts_earlier_retries() {
     let config = budget::Config { ratio: 0.0, slack: 4.0, window: Millis(1_000) };
     let mut budget = RetryBudget::new(config);
     assert!(budget.take(Millis(0), 1) && budget.take(Millis(0), 1));
@@ -335,7 +335,7 @@
     /// Servers start and stop, and rows reappear. Each chosen server must be listed and not
     /// leaving, and one must be chosen as long as there is such a server.
     #[test]
-    fn only_listed_servers_are_chosen_however_lives_come_and_go(
+    fn only_listed_servers_are_chosen_as_rows_come_and_go(
         changes in vec((0u16..12, 0u8..3), 1..300),
     ) {
         let mut pool = Pool::new(pool::Config::default());
@@ -395,7 +395,7 @@
     /// In every window, the retries of all gateways must stay within the operators' bound, even if
     /// each gateway is replaced by a new process during the window.
     #[test]
-    fn repeats_stay_within_the_bound_in_every_window(
+    fn retries_stay_within_the_bound_in_every_window(
         events in vec((0u64..120, 0usize..4, any::<bool>()), 1..400),
         restart_at in 0u64..6_000,
     ) {
@@ -426,7 +426,7 @@
     /// However a stream is split into pieces, and wherever its server truncates it, the caller must
     /// get complete events, in order, each once.
     #[test]
-    fn callers_get_whole_events_each_once(
+    fn callers_get_complete_events_exactly_once(
         lengths in vec(0usize..30, 1..20),
         cuts in vec(1usize..40, 1..40),
         truncated_at in 0usize..400,
@@ -460,7 +460,7 @@
     /// A plan must respect the limits on experts per rank and on new experts per rank, place every
     /// expert, and not be worse than before.
     #[test]
-    fn plans_keep_their_bounds(
+    fn expert_plans_respect_the_limits_and_place_every_expert(
         shares in vec(0.0f64..1.0, 16),
         hot in 0usize..16,
         new_at in 0usize..4,
--- a/crates/core/tests/direct_tables.rs
+++ b/crates/core/tests/direct_tables.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn keys_are_asked_for_unless_a_route_is_anonymous() {
+fn a_known_key_is_required_unless_the_route_is_anonymous() {
     let serving = serving(vec![route("h", "/open/", true), route("h", "/shut/", false)]);
     let admit = |path: &str, key| serving.admit("h", path, key).map(|(_, account)| account);
     assert_eq!(admit("/shut/", None), Err(Denial::UnknownKey));
@@ -118,7 +118,7 @@
     /// and from each other in any order, old copies among them. Each holds exactly the store's rows
     /// at its revision, and its revision never falls.
     #[test]
-    fn replicas_are_the_store_at_their_revision(
+    fn replicas_equal_the_store_at_their_revision(
         changes in vec((0u8..6, proptest::option::of(0u8..4)), 1..40),
         steps in vec((0u8..4, 0usize..2, 0.0f64..1.0), 1..60),
     ) {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_removal_from_before_a_whole_copy_reaches_peers() {
+fn a_removal_before_a_complete_copy_reaches_peers() {
     let mut history = History::default();
     history.change(1, Some(1));
     let mut behind = Replica::default();
--- a/crates/core/tests/eras.rs
+++ b/crates/core/tests/eras.rs
@@ -109,7 +109,7 @@
     /// Guards against revisions of one era that are compared with those of another. Each replica
     /// holds exactly the store's rows at its revision, whatever arrives late, and never goes back.
     #[test]
-    fn replicas_are_the_store_at_their_revision_in_every_era(steps in vec(step(), 1..120)) {
+    fn replicas_equal_the_store_at_their_revision_in_every_era(steps in vec(step(), 1..120)) {
         let mut history = History::begin(Vec::new());
         history.write(0, Some(0));
         let mut replicas = [Replica::default(), Replica::default(), Replica::default()];
@@ -151,7 +151,7 @@
     /// Guards against a token that is granted twice: by claims of several eras, each from a row
     /// that may be lost, by claimants that know no earlier token.
     #[test]
-    fn tokens_rise_from_claim_to_claim_whatever_the_store_loses(
+    fn fencing_tokens_increase_with_each_claim_even_if_the_store_loses_rows(
         claims in vec((proptest::bool::weighted(0.3), 0usize..4), 1..60),
     ) {
         let (mut era, mut rows, mut highest) = (0, vec![0], 0);
@@ -178,7 +178,7 @@
 /// Guards against known values of rows that are dropped when an era begins, and against values that
 /// are held for ever.
 #[test]
-fn what_a_copy_lacks_holds_until_it_is_written_again_or_its_time_is_over() {
+fn rows_lost_in_a_new_era_are_held_until_rewritten_or_expired() {
     let mut replica = Replica::default();
     let changes = vec![
         row("same", 2, Some("ready")),
--- a/crates/core/tests/expert_layouts.rs
+++ b/crates/core/tests/expert_layouts.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_switch_takes_more_copies_where_they_are_quick() {
+fn a_layout_switch_makes_more_copies_if_copies_are_quick() {
     // All hot experts are on the first of two ranks: each copy moves an eighth of their load to the
     // other.
     let paces = [1.0; 2];
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_shift_is_seen_in_the_second_reading_after_it() {
+fn a_demand_shift_is_detected_in_the_second_snapshot_after_it() {
     let shape = shape(148.0);
     let mut demand = Demand::new(&shape);
     let rank = Key::from_index(0);
@@ -116,7 +116,7 @@
 /// crashes while no switch is under way, and the group restarts with its initial map. If the leader
 /// plans from the earlier map, the group keeps the initial map, with a skew of 3.4, for 8 s.
 #[test]
-fn the_life_of_a_group_is_the_newest_that_its_ranks_told() {
+fn the_epoch_of_a_group_is_the_newest_reported_by_its_ranks() {
     let shape = shape(40.0);
     let (one, other, other_group) = (Key::from_index(0), Key::from_index(1), Key::from_index(2));
     let mut demand = Demand::new(&shape);
--- a/crates/core/tests/expert_plans.rs
+++ b/crates/core/tests/expert_plans.rs
@@ -128,7 +128,7 @@
     /// A search that evaluates only the ranks affected by a change is as good as one that evaluates
     /// all ranks.
     #[test]
-    fn plans_are_those_of_the_slow_search(
+    fn plans_are_as_good_as_those_of_the_reference_search(
         shares in vec(0.01f64..1.0, 14),
         hot in 0usize..14,
         paces in vec(0.8f64..2.0, 5),
@@ -162,7 +162,7 @@
 /// For groups of any size, a layout is the same after conversion to the experts of each rank and
 /// back, and a hot expert of the last rank is spread over more ranks.
 #[test]
-fn groups_of_any_size_have_maps() {
+fn groups_of_any_size_get_convertible_layouts_that_spread_hot_experts() {
     for ranks in [1, 8, 12, 24, 63, 64, 65, 96, 128, 256, 1_000] {
         let shape = shape(ranks);
         let first = expert_layout::first(&shape, ranks);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_rank_that_names_no_known_expert_gives_no_layout() {
+fn a_rank_that_reports_an_unknown_expert_gives_no_layout() {
     let shape = shape(2);
     assert_eq!(expert_layout::from_ranks(&shape, &[vec![vec![0, 4]]]), None);
 }
--- a/crates/core/tests/frozen_senders.rs
+++ b/crates/core/tests/frozen_senders.rs
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_machine_that_stands_still_upon_a_hold_does_not_hold_the_group() {
+fn a_machine_that_freezes_after_a_hold_stalls_the_group_for_a_bounded_time() {
     for faults in all_faults().filter(|faults| faults.freeze_after == FreezeAfter::Hold) {
         for ranks in [2, 5, 12] {
             let outcome = run(ranks, faults, 1);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn late_orders_reborn_ranks_and_dying_leaders_bring_no_second_map() {
+fn late_orders_rank_restarts_and_leader_crashes_cause_no_second_map_in_a_pass() {
     let mut switched = 0;
     for (number, faults) in all_faults().enumerate() {
         for seed in 0..12 {
--- a/crates/core/tests/gateways.rs
+++ b/crates/core/tests/gateways.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn few_of_each_data_centre_follow_the_store_closely_and_others_take_their_place() {
+fn a_gateway_follows_the_store_closely_if_few_available_local_gateways_precede_it() {
     let now = Millis(10_000);
     let mut members = Members::new(Config::default(), neighbour("d"));
     assert!(members.follows_closely(now), "it knows no other gateway");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_gateway_that_exchanges_no_news_follows_the_store_closely() {
+fn a_gateway_without_recent_gossip_exchanges_follows_the_store_closely() {
     let mut members = Members::new(Config::default(), neighbour("d"));
     for name in ["a", "b", "c"] {
         members.apply_record(&fresh(&neighbour(name)), Millis(1_000));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_gateway_whose_heartbeat_stands_still_is_not_given_to_callers() {
+fn a_gateway_whose_heartbeat_does_not_advance_is_not_listed_for_callers() {
     let config =
         Config { suspect_after: Millis(3_000), remove_after: Millis(60_000), ..Config::default() };
     let mut members = Members::new(config, member("a", 1));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_look_tells_who_is_seen_otherwise_than_before() {
+fn liveness_changes_lists_gateways_whose_state_changed() {
     let mut members = Members::new(Config::default(), member("a", 1));
     members.apply_record(&fresh(&member("b", 7)), Millis(0));
     let look = |members: &mut Members, now| {
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn a_restarted_gateway_outlives_the_word_of_its_earlier_process() {
+fn a_restarted_gateway_picks_a_higher_incarnation_than_its_earlier_process() {
     let mut members = Members::new(Config::default(), member("a", 0));
     members.apply_record(&fresh(&Member { incarnation: 9, ..member("a", 55) }), Millis(0));
     assert_eq!(members.own().incarnation, 10);
 }
 
 #[test]
-fn callers_always_get_an_address() {
+fn callers_get_an_address_even_if_no_gateway_is_ready() {
     let mut members = Members::new(Config::default(), member("a", 1));
     members.set_readiness(Readiness::Starting);
     assert_eq!(members.for_callers("x", Millis(0)), [member("a", 1).callers_at]);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn whoever_leads_goes_on_until_it_is_silent() {
+fn a_leader_continues_until_it_is_suspected_leaves_or_meets_a_higher_token() {
     let config =
         Config { suspect_after: Millis(3_000), remove_after: Millis(60_000), ..Config::default() };
     let mut members = Members::new(config, member("b", 1));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn whoever_the_store_does_not_answer_claims_no_lead() {
+fn a_gateway_that_cannot_reach_the_store_does_not_claim_leadership() {
     let mut members = Members::new(Config::default(), member("b", 1));
     members.set_readiness(Readiness::Ready);
     members.apply_record(&fresh(&member("a", 1)), Millis(0));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_lead_that_is_not_told_goes_on_until_another_gateway_has_it() {
+fn an_unadvertised_leadership_continues_until_another_gateway_leads() {
     let mut members = Members::new(Config::default(), member("b", 1));
     members.set_readiness(Readiness::Ready);
     members.apply_record(&fresh(&member("a", 1)), Millis(0));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn the_lead_goes_to_those_with_the_most_memory_and_then_by_name() {
+fn the_preferred_leader_has_the_most_memory_and_then_the_first_name() {
     let able = |memory_bytes, name| Member { memory_bytes, store_answers: true, ..member(name, 1) };
     let mut members = Members::new(Config::default(), able(512, "c"));
     members.set_readiness(Readiness::Ready);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn the_end_of_an_earlier_lead_does_not_end_the_next() {
+fn ending_an_earlier_leadership_does_not_end_the_current_one() {
     let mut members = Members::new(Config::default(), member("a", 1));
     members.begin_leadership(3);
     members.begin_leadership(4);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn gateways_that_live_are_not_taken_for_silent_however_many_there_are() {
+fn gateways_that_are_alive_are_rarely_suspected_in_fleets_of_any_size() {
     for gateways in [2, 8, 40, 149] {
         let fraction = fraction_suspected(gateways);
         // One pair in some thousand may be: callers get other gateways for a gossip round.
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn beats_say_what_members_say() {
+fn heartbeats_update_known_records_and_request_unknown_ones() {
     let now = Millis(1_000);
     let mut a = Members::new(Config::default(), member("a", 3));
     let mut b = Members::new(Config::default(), member("b", 4));
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn news_that_stay_near_are_told_in_the_own_data_centre() {
+fn random_local_peer_picks_every_alive_gateway_of_the_own_data_centre_only() {
     let now = Millis(1_000);
     let mut members = Members::new(Config::default(), neighbour("d"));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -327,7 +327,7 @@
 /// Guards against an unequal share of callers: callers get 64 gateways at most, and pick one of
 /// them at random. There are five data centres of 30 gateways.
 #[test]
-fn callers_are_given_all_gateways_alike() {
+fn all_gateways_are_listed_for_callers_about_equally_often() {
     let now = Millis(1_000);
     let named = |index: usize| {
         let at = SocketAddr::from(([127, 0, 0, 1], 1_000 + index as u16));
@@ -357,7 +357,7 @@
 /// Guards against a restarted gateway that stays unknown. Incarnations are times of day, which can
 /// jump by hours, ahead and back.
 #[test]
-fn a_process_whose_clock_went_back_is_known_after_two_exchanges() {
+fn a_restarted_process_with_a_changed_clock_is_known_after_two_exchanges() {
     const HOUR_MS: u64 = 3_600_000;
     let started = |clock_ms, heartbeat| {
         let own = Member { incarnation: clock_ms, ..member("a", heartbeat) };
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -64,7 +64,7 @@
     #![proptest_config(seeded(400, "tests/lease.regressions"))]
 
     #[test]
-    fn epochs_only_grow_and_no_two_holders_share_one(
+    fn lease_epochs_only_increase_and_no_two_holders_share_one(
         turns in proptest::collection::vec((0_usize..3, 0_u64..80, any::<bool>()), 1..200),
     ) {
         let mut table = Table::default();
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -28,7 +28,7 @@
     #![proptest_config(seeded(300, "tests/limits.regressions"))]
 
     #[test]
-    fn never_more_than_the_limit_and_one_burst_in_any_span_over_all_gateways(
+    fn admitted_requests_never_exceed_the_limit_and_one_burst_over_all_gateways(
         gaps in proptest::collection::vec(0_u64..40, 10..400),
         limit in 1_u32..200,
         gateways in 1_usize..9,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_when_told_is_admitted() {
+fn a_caller_that_waits_for_retry_after_uses_the_full_limit() {
     let mut limiter = Limiter::default();
     let row = row(10, 1_000, 1_000);
     let mut now = Millis(0);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_bucket_waits_for_a_full_one_and_is_paid_back() {
+fn a_request_larger_than_the_bucket_is_admitted_and_delays_later_requests() {
     let mut limiter = Limiter::default();
     let row = row(100, 100, 100);
     assert!(limiter.admit(Millis(0), 1, &row, 1, 1_000).is_ok());
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_account_without_a_limit_left_is_told_not_to_wait_for_it() {
+fn an_account_with_a_limit_of_zero_gets_a_retry_after_of_one_hour() {
     let mut limiter = Limiter::default();
     let row = row(0, 0, 10);
     assert!(limiter.admit(Millis(0), 1, &row, 1, 1).is_ok(), "one request is always in the bucket");
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_calm_group_switches() {
+fn a_group_without_faults_switches_maps() {
     let mut group = Group::new(4);
     let switched = run_schedule(1, 4, NO_FAULTS, &mut group);
     assert!(switched >= 10, "{switched} switches in 600 ticks");
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_schedules_find_a_group_that_does_not_check_fences() {
+fn the_schedules_detect_a_group_that_ignores_fencing_tokens() {
     let broken = (0..4_000).any(|seed| {
         let outcome = std::panic::catch_unwind(|| {
             let mut group = Group::new(3);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_version_is_given_out_once_and_stays_below_those_of_the_next_leader() {
+fn a_version_is_allocated_once_and_is_below_those_of_the_next_leader() {
     let mut first = Versions::of_fencing_token(3);
     let mut allocated: Vec<u64> = std::iter::from_fn(|| first.allocate_above(0)).collect();
     assert_eq!(first.allocate_above(0), None, "no version is left");
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_switch_that_holds_a_pass_is_not_left_when_a_rank_is_not_listed() {
+fn a_withdrawn_switch_releases_the_pass_that_it_holds() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut group = Group::new(3);
     let mut leader = Leader::new(1, &mut group);
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_lost_answer_sets_the_pass_a_time_ahead_not_a_number_of_passes() {
+fn after_a_lost_reply_the_switch_pass_is_set_by_time_not_by_number_of_passes() {
     let [short, long] = [30, 120].map(|pass_ms| lead_after_a_lost_answer(Millis(pass_ms)));
     let sure = Config::for_fresh_reports().passes_ahead;
     assert_eq!(short - sure, 9, "250 ms of passes of 30 ms");
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_group_that_is_armed_is_not_surveyed_without_a_pause() {
+fn the_switch_pauses_before_it_polls_an_armed_group_again() {
     let group = Group::new(3);
     let armed = RankReport { armed: Some((7, 1_000)), ..group.report(0, 0) };
     let mut switch = Switch::new(
--- a/crates/core/tests/map_switch.rs
+++ b/crates/core/tests/map_switch.rs
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn two_leaders_lost_late_and_repeated_messages_failed_loads() {
+fn the_switch_is_safe_with_two_leaders_and_faulty_messages() {
     assert_safe(TWO_RANKS);
 }
 
 #[test]
-fn a_sidecar_restarted_with_empty_memory_before_a_server_that_keeps_no_fence() {
+fn the_switch_is_safe_if_a_sidecar_restarts_and_no_fencing_token_is_stored() {
     assert_safe(Setup { restarts: 1, last_step: 2, ..TWO_RANKS });
 }
 
 #[test]
-fn the_store_down_and_ranks_that_lead_by_themselves() {
+fn the_switch_is_safe_if_ranks_lead_without_the_store() {
     assert_safe(Setup {
         leases: 1,
         storeless_terms: 1,
@@ -66,22 +66,22 @@
 }
 
 #[test]
-fn three_ranks_and_one_leader() {
+fn the_switch_is_safe_with_three_ranks_and_one_leader() {
     assert_safe(Setup { ranks: 3, leases: 1, last_step: 2, ..TWO_RANKS });
 }
 
 #[test]
-fn a_rank_that_does_not_wait_is_caught() {
+fn the_model_detects_a_rank_that_ignores_a_hold() {
     assert_detected(Setup { flaw: Flaw::IgnoresHold, ..TWO_RANKS });
 }
 
 #[test]
-fn a_map_pushed_rank_by_rank_is_caught() {
+fn the_model_detects_a_map_pushed_rank_by_rank() {
     assert_detected(Setup { flaw: Flaw::PushesRankByRank, ..TWO_RANKS });
 }
 
 #[test]
-fn a_restarted_sidecar_that_guesses_the_fence_is_caught() {
+fn the_model_detects_a_restarted_sidecar_that_guesses_the_fencing_token() {
     assert_detected(Setup { restarts: 1, flaw: Flaw::GuessesFence, last_step: 2, ..TWO_RANKS });
 }
 
@@ -107,7 +107,7 @@
     #![proptest_config(seeded(300, "tests/map_switch.regressions"))]
 
     #[test]
-    fn long_paths_of_a_larger_group(
+    fn the_switch_is_safe_on_long_random_paths_of_larger_groups(
         choices in proptest::collection::vec(any::<u16>(), 50..400),
         keeps_fence in any::<bool>(),
         ranks in 2_usize..9,
--- a/crates/core/tests/notice_fleet/mod.rs
+++ b/crates/core/tests/notice_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of gateways that send requests to servers in groups, for `tests/asked.rs`. Requests,
+//! Simulation of gateways that send requests to servers in groups, for `tests/server_notices.rs`. Requests,
 //! answers and rows of the server list have delays, and rows may overtake each other. The received
 //! notices are stored a second time, as a plain list, which each request is checked against.
 
--- a/crates/core/tests/outages.rs
+++ b/crates/core/tests/outages.rs
@@ -7,7 +7,7 @@
 use hooktrestle_core::direct::outage::Outages;
 
 #[test]
-fn callers_come_back_when_an_outage_is_expected_to_be_over() {
+fn retry_after_is_the_expected_end_of_an_outage() {
     let mut outages = Outages::new(Config::default());
     assert_eq!(outages.retry_after(Millis(500), 0.0), None, "there is no outage");
     outages.began(Millis(1_000));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn callers_are_spread_within_what_they_wait_for() {
+fn retry_after_is_spread_over_a_range_by_the_random_fraction() {
     let mut outages = Outages::new(Config::default());
     outages.began(Millis(1_000));
     assert_eq!(outages.retry_after(Millis(2_100), 0.5), Some(Millis(1_125)));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_is_expected_follows_the_outages_that_were_seen() {
+fn the_expected_length_of_an_outage_follows_earlier_outages() {
     let mut outages = Outages::new(Config::default());
     for round in 0..20 {
         outages.began(Millis(10_000 * round));
--- a/crates/core/tests/overtaken.rs
+++ b/crates/core/tests/overtaken.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_request_at_a_frozen_machine_is_left_within_a_second() {
+fn a_request_at_a_frozen_server_is_given_up_within_600_ms() {
     let ended = play(|server| server == 3);
     let given_up: Vec<u64> =
         ended.iter().filter(|(_, given_up)| *given_up).map(|(waited, _)| *waited).collect();
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn no_request_is_left_while_all_servers_stand_still() {
+fn no_request_is_given_up_while_all_servers_are_stalled() {
     let ended = play(|_| true);
     assert!(ended.iter().all(|(_, given_up)| !given_up));
     assert!(ended.iter().any(|(waited, _)| *waited > 3_000), "they stalled");
 }
 
 #[test]
-fn a_request_that_is_slow_by_itself_waits_as_long_as_three_usual_ones() {
+fn a_slow_request_is_given_up_after_three_times_the_usual_wait() {
     let keys = servers();
     let mut heads = Heads::new(Config::default());
     for number in 0..20 {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn nothing_is_left_before_any_answer_is_known() {
+fn no_request_is_given_up_before_any_answer_is_recorded() {
     let heads = Heads::new(Config::default());
     let key = servers()[0];
     assert_eq!(heads.next(key, Millis(0), Millis(90_000)), Next::Wait(Millis(90_100)));
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -8,7 +8,7 @@
 use hooktrestle_core::util::arena::Key;
 
 #[test]
-fn passes_are_as_long_as_the_span_over_how_many_began() {
+fn the_pass_length_is_the_elapsed_time_per_pass_begun() {
     let mut passes = Passes::default();
     let rank = Key::from_index(0);
     assert_eq!(passes.length(), None);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_group_that_is_born_anew_counts_from_zero() {
+fn the_pass_length_estimate_restarts_with_a_new_epoch() {
     let mut passes = Passes::default();
     let rank = Key::from_index(0);
     passes.record(rank, 1, 100, Millis(1_000));
--- a/crates/core/tests/permit_fleet/mod.rs
+++ b/crates/core/tests/permit_fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Simulation of gateways that send requests to one server with a limit, for
-//! `tests/named_limit.rs`. Requests, answers, requests for permits and gossip have delays. Gateways
+//! `tests/advertised_limits.rs`. Requests, answers, requests for permits and gossip have delays. Gateways
 //! start late, end, restart, are suspended and are partitioned from each other. The requests that
 //! reached the server are stored as a plain list, and counted in every window of it.
 
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -74,7 +74,7 @@
     #![proptest_config(seeded(400, "tests/placement.regressions"))]
 
     #[test]
-    fn a_plan_keeps_every_expert_and_is_never_worse((shares, ranks, slots) in group()) {
+    fn a_plan_retains_every_expert_and_never_increases_the_skew((shares, ranks, slots) in group()) {
         let before = Layout::round_robin(shares.len(), ranks, slots);
         let mut layout = before.clone();
         let moves = Planner::new(config(1.0)).plan(&mut layout, &shares, &[], LASTS_MS);
@@ -94,7 +94,7 @@
     }
 
     #[test]
-    fn loads_are_those_counted_slot_by_slot((shares, ranks, slots) in group()) {
+    fn layout_loads_equal_a_slot_by_slot_reference_count((shares, ranks, slots) in group()) {
         let layout = baseline::pack(&shares, ranks, slots);
         for (fast, slow) in layout.loads(&shares).iter().zip(reference_loads(&layout, &shares)) {
             prop_assert!((fast - slow).abs() < 1e-9);
@@ -102,7 +102,7 @@
     }
 
     #[test]
-    fn no_layout_of_a_small_group_beats_the_bound_and_the_plan_is_near_the_best(
+    fn min_skew_is_a_lower_bound_and_plans_of_small_groups_are_near_the_best(
         shares in proptest::collection::vec(0.1_f64..10.0, 3..6),
     ) {
         let slots = shares.len().div_ceil(2) + 1;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_sudden_theme_is_seen_with_its_first_count() {
+fn a_sudden_popularity_change_is_detected_with_its_first_count() {
     let mut popularity = Popularity::new(popularity::Config::default(), 64);
     for _ in 0..60 {
         popularity.observe(&counts(&[], 0.0));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn noise_moves_nothing_where_moves_are_dear() {
+fn count_noise_causes_no_moves_where_moves_are_expensive() {
     let mut popularity = Popularity::new(popularity::Config::default(), 64);
     let mut layout = Layout::round_robin(64, 16, 5);
     let mut planner = Planner::new(config(96.0));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn missing_counts_change_nothing() {
+fn missing_counts_do_not_change_popularity_shares() {
     let mut popularity = Popularity::new(popularity::Config::default(), 64);
     popularity.observe(&counts(&[5], 0.0));
     let before = popularity.shares().to_vec();
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_rank_that_is_slow_for_other_reasons_gets_less() {
+fn a_rank_with_a_lower_speed_gets_less_load() {
     let shares = vec![1.0; 64];
     let mut layout = Layout::round_robin(64, 16, 5);
     let mut speeds = vec![1.0; 16];
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_plan_stays_within_the_loads_that_the_weight_store_allows() {
+fn a_plan_stays_within_the_max_number_of_weight_loads() {
     let shares: Vec<f64> = (1..=64).map(|rank| 1.0 / f64::from(rank)).collect();
     let mut layout = Layout::round_robin(64, 16, 5);
     let tight = Config { max_loads: 6, ..config(0.1) };
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn turns_follow_weights_to_the_request() {
+fn requests_are_distributed_in_proportion_to_weights() {
     assert_eq!(counts(&mut candidates(&[1, 1, 1, 1]), Millis(0), 40), [10, 10, 10, 10]);
     let weighted = counts(&mut candidates(&[100, 200, 100]), Millis(0), 400);
     assert!(weighted[1].abs_diff(200) <= 2 && weighted[0].abs_diff(100) <= 2, "{weighted:?}");
 }
 
 #[test]
-fn a_server_that_is_much_busier_loses_turns_while_the_report_is_fresh() {
+fn a_much_busier_server_gets_fewer_requests_while_its_report_is_fresh() {
     let mut busy = candidates(&[1, 1, 1, 1]);
     busy[2].report = Report { at: Millis(1_000), queued_requests: 60, ..Report::default() };
     let fresh = counts(&mut busy.clone(), Millis(1_000), 40);
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn small_differences_between_reports_change_nothing() {
+fn small_differences_between_reports_do_not_change_the_distribution() {
     let mut near = candidates(&[1, 1, 1, 1]);
     near[1].report = Report { at: Millis(5), running_requests: 5, ..Report::default() };
     assert_eq!(counts(&mut near, Millis(5), 40), [10, 10, 10, 10]);
 }
 
 #[test]
-fn servers_that_are_drained_leaving_unlinked_or_tried_are_left_out() {
+fn servers_that_are_drained_leaving_unusable_or_tried_are_not_chosen() {
     let mut all = candidates(&[1, 0, 1, 1, 1]);
     all[2].report.leaving = true;
     all[3].usable = false;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_server_that_comes_back_is_not_flooded() {
+fn a_server_that_becomes_usable_again_is_not_flooded() {
     let mut all = candidates(&[1, 1, 1, 1]);
     all[3].usable = false;
     counts(&mut all, Millis(0), 3_000);
--- a/crates/core/tests/asked.rs
+++ b/crates/core/tests/server_notices.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn times_are_read_and_odd_ones_bounded_or_passed_over() {
+fn back_off_times_are_parsed_and_bounded_and_invalid_ones_ignored() {
     let read = [
         ("3", Some(3_000)),
         (" 2.5 ", Some(2_500)),
@@ -83,14 +83,14 @@
 
 proptest! {
     #[test]
-    fn any_text_is_a_bounded_rest_or_none(text in "\\PC*") {
+    fn any_text_parses_to_a_bounded_back_off_or_none(text in "\\PC*") {
         let read = server_notices::parse_back_off(&text);
         prop_assert!(read.is_none_or(|back_off| back_off > Millis::ZERO && back_off <= MAX_BACK_OFF));
     }
 }
 
 #[test]
-fn of_rests_that_overlap_the_last_to_end_binds() {
+fn of_overlapping_back_offs_the_one_that_ends_last_applies() {
     let (mut pool, a, b) = pair();
     pool.back_off(a, Millis(3_000), Millis(100));
     pool.back_off(a, Millis(500), Millis(200));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn no_report_ends_a_rest() {
+fn no_report_ends_a_back_off() {
     let (mut pool, a, b) = pair();
     pool.back_off(a, Millis(3_000), Millis(100));
     pool.set_stalled(a, true);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_new_life_owes_nothing_and_an_older_one_says_nothing() {
+fn only_a_newer_incarnation_clears_back_off_and_leaving() {
     let (mut pool, a, b) = pair();
     pool.back_off(a, MAX_BACK_OFF, Millis(100));
     pool.back_off(b, MAX_BACK_OFF, Millis(100));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_server_comes_back_with_one_request_and_twice_as_many_with_each_answer() {
+fn ramp_up_after_a_back_off_starts_at_one_request_and_doubles_with_each_answer() {
     let (mut pool, a, b) = pair();
     pool.back_off(a, Millis(1_000), Millis(0));
     let mut at_once = Vec::new();
@@ -168,7 +168,7 @@
 /// Guards against a burst after a back-off: if each gateway by itself sends one request at first,
 /// forty gateways send forty at once.
 #[test]
-fn a_server_comes_back_to_few_requests_of_all_gateways_together() {
+fn ramp_up_after_a_back_off_is_bounded_across_all_gateways() {
     const GATEWAYS: usize = 40;
     let (pool, a, b) = pair();
     let mut pools = vec![pool; GATEWAYS];
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_fleet_keeps_what_servers_ask_and_refuses_nothing_else() {
+fn a_fleet_respects_server_notices_and_refuses_nothing_else() {
     for seed in 0..SEEDS {
         let outcome = Fleet::new(seed, NoticesApplied::All).run_to_end();
         assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn the_model_finds_gateways_that_do_not_listen() {
+fn the_simulation_detects_gateways_that_ignore_server_notices() {
     for applied in [NoticesApplied::NoBackOff, NoticesApplied::NoLeaving] {
         let found = (0..SEEDS)
             .filter(|seed| !Fleet::new(*seed, applied).run_to_end().violations.is_empty());
--- a/crates/core/tests/departed.rs
+++ b/crates/core/tests/stopped_gateways.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_gateway_that_went_off_is_not_given_to_callers_again() {
+fn a_stopped_gateway_is_not_advertised_to_callers_again() {
     for seed in 0..8 {
         let mut fleet = fleet_of(7, seed);
         pass(&mut fleet, Millis(4_000));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn whoever_is_off_is_not_given_to_callers_whatever_starts_is_cut_off_or_listed() {
+fn stopped_gateways_are_not_advertised_and_running_ones_are_under_faults() {
     let (mut missed, mut pairs) = (0, 0);
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -99,7 +99,7 @@
 /// listed ones now and then, and counts them in the delay before it claims leadership, until their
 /// rows are removed.
 #[test]
-fn rows_of_gateways_that_are_gone_are_removed_and_those_of_a_cut_come_back() {
+fn rows_of_stopped_gateways_are_removed_and_those_of_a_partition_restored() {
     let mut fleet = fleet_of(7, 3);
     pass(&mut fleet, Millis(4_000));
     fleet.stop(1);
@@ -120,7 +120,7 @@
 /// Guards against a removed row that returns. Its removal is stored for a limited time only, and an
 /// answer that was sent before the removal may still contain the row.
 #[test]
-fn a_row_that_was_removed_does_not_come_back_by_an_old_answer() {
+fn a_late_update_does_not_restore_a_removed_row() {
     let row = |number: u64, revision, value: Option<&str>| Change {
         key: format!("s{number}"),
         revision,
@@ -150,7 +150,7 @@
 /// Guards against shares of a limit for all gateways that are too large, because some gateways are
 /// not listed for a while. A gateway that is cut off keeps its own share.
 #[test]
-fn gateways_whose_rows_are_lost_count_among_those_that_share() {
+fn gateways_with_lost_rows_count_in_the_fleet_size_until_they_expire() {
     let mut members = Members::new(Config::default(), numbered(0, 1));
     let listed: Vec<_> = (0..7).map(|number| numbered(number, 1)).collect();
     members.apply_table(&listed, Millis::ZERO);
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_server_that_goes_changes_only_the_choices_it_was_part_of() {
+fn removing_a_server_changes_only_the_subsets_that_contained_it() {
     let all = names(SERVERS);
     let fewer: Vec<String> = all.iter().filter(|name| *name != "server-7").cloned().collect();
     for gateway in 0..GATEWAYS {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn most_are_near_and_some_far_so_that_a_data_centre_can_go() {
+fn subsets_are_mostly_local_and_nearly_all_contain_remote_servers() {
     let names = names(40);
     let mixed: Vec<Instance<'_>> = names
         .iter()
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_small_fleet_is_linked_fully() {
+fn every_server_of_a_small_fleet_is_in_the_subset() {
     let names = names(16);
     assert_eq!(subset::choose("entry-1", &instances(&names), 16).len(), 16);
 }
--- a/crates/core/tests/suspension.rs
+++ b/crates/core/tests/suspension.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_gap_between_readings_is_a_standstill_until_it_is_long_ago() {
+fn a_gap_between_clock_readings_is_a_suspension_until_it_is_too_long_ago() {
     let mut suspension = SuspensionDetector::default();
     let before = observe_each(Millis(600), 10, Millis::ZERO, &mut suspension);
     assert_eq!(suspension.ended_within(Millis::MAX, before), None);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_slow_start_and_a_busy_second_are_none() {
+fn a_slow_start_or_a_brief_gap_is_not_a_suspension() {
     let mut suspension = SuspensionDetector::default();
     suspension.observe_clock(Millis(5_000));
     suspension.observe_clock(Millis(5_000) + MIN_SUSPENSION - Millis(1));
--- a/crates/core/tests/broken_off.rs
+++ b/crates/core/tests/truncated_answers.rs
@@ -72,7 +72,7 @@
 /// crashed while the store was unavailable, and its answers are truncated at each, until all these
 /// servers disappear from the list at the same time.
 #[test]
-fn what_is_sent_to_servers_that_have_crashed_before_did_not_crash_them() {
+fn requests_sent_to_already_crashed_servers_are_not_refused() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let begin = Millis(20_000);
@@ -109,7 +109,7 @@
 
 /// Guards against a crash time taken from the last truncated answers, once the first are removed.
 #[test]
-fn a_crash_is_dated_by_the_first_answer_that_broke_off_since_the_server_lived() {
+fn crash_time_is_the_first_truncated_answer_after_the_last_complete_one() {
     let mut truncated = TruncatedAnswers::default();
     let suspect = |number| Suspect {
         fingerprint: Fingerprint(number),
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -63,22 +63,22 @@
 }
 
 #[test]
-fn a_gateway_that_retries_on_any_error_is_caught() {
+fn the_checks_detect_a_gateway_that_retries_on_any_error() {
     assert!(is_caught(Flaw::RetriesAnyError));
 }
 
 #[test]
-fn a_sidecar_that_takes_frames_of_an_older_link_is_caught() {
+fn the_checks_detect_a_sidecar_that_accepts_frames_of_an_older_link() {
     assert!(is_caught(Flaw::IgnoresEpochs));
 }
 
 #[test]
-fn a_restarted_sidecar_that_keeps_its_incarnation_is_caught() {
+fn the_checks_detect_a_restarted_sidecar_that_keeps_its_incarnation() {
     assert!(is_caught(Flaw::KeepsIncarnation));
 }
 
 #[test]
-fn a_caller_that_takes_frames_of_an_older_attempt_is_caught() {
+fn the_checks_detect_a_caller_that_accepts_frames_of_an_older_attempt() {
     assert!(is_caught(Flaw::ForwardsAnyAttempt));
 }
 
@@ -86,7 +86,7 @@
     #![proptest_config(seeded(1_000, "tests/verdicts.regressions"))]
 
     #[test]
-    fn no_schedule_makes_a_verdict_false(events in schedules()) {
+    fn verdicts_are_true_in_all_schedules(events in schedules()) {
         let mut world = World::new(Flaw::None);
         for event in &events {
             world.apply(*event);
--- a/crates/direct/tests/admission_queue.rs
+++ b/crates/direct/tests/admission_queue.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn whoever_waits_is_let_in_by_priority_and_then_by_deadline() {
+fn waiting_requests_are_admitted_by_priority_then_by_deadline() {
     run(async {
         let clock = timer_clock();
         let (queue, mut streams) = queue_with_streams(clock, 121).await;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn whoever_has_waited_as_long_as_it_can_is_sent() {
+fn a_request_is_admitted_after_its_maximum_wait() {
     run(async {
         let clock = timer_clock();
         let (queue, _streams) = queue_with_streams(clock, 121).await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn whoever_would_wait_too_long_is_sent_away_at_once() {
+fn a_request_that_would_wait_too_long_is_refused_at_once() {
     run(async {
         let clock = timer_clock();
         let (queue, streams) = queue_with_streams(clock, 400).await;
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn whoever_leaves_while_it_waits_takes_no_place() {
+fn a_cancelled_waiting_request_takes_no_capacity() {
     run(async {
         let clock = timer_clock();
         let (queue, mut streams) = queue_with_streams(clock, 121).await;
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn whoever_waits_is_let_go_at_once_where_no_server_takes_requests() {
+fn admit_all_admits_all_waiting_requests_at_once() {
     run(async {
         let clock = timer_clock();
         let (queue, _streams) = queue_with_streams(clock, 121).await;
--- a/crates/embedded/tests/configuration.rs
+++ b/crates/embedded/tests/configuration.rs
@@ -43,7 +43,7 @@
 /// The store goes down as soon as an accepted edit is in force at `entry-1`. Processes that have
 /// not read the edit by then must receive it from their peers.
 #[tokio::test]
-async fn the_store_goes_down_right_after_an_acceptance() {
+async fn an_accepted_edit_reaches_all_processes_though_the_store_goes_down() {
     let fleet = deployment(2).await;
     fleet.edit(&[("backend_server:hints-1", row(7))]).await.unwrap();
     let mut first = fleet.gateways["entry-1"].config();
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn a_process_started_in_an_outage_waits_and_never_serves_an_older_version() {
+async fn a_sidecar_started_in_a_store_outage_runs_nothing_until_it_has_a_configuration() {
     let mut fleet = deployment(1).await;
     fleet.fake.set_faults(Faults { down: true, ..Faults::default() });
     fleet.restart_sidecar("hints-1", "dar-1").await.unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_bad_row_is_reported_beside_it_and_holds_up_no_good_one() {
+async fn an_invalid_row_is_reported_by_key_and_does_not_block_valid_rows() {
     let fleet = deployment(1).await;
     let bad = json!({ "service": "nowhere", "data_centre": "dar-1" });
     let worse = json!({ "service": "hints", "data_centre": "dar-1", "weight": 99_999_999 });
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn operators_who_race_on_a_row_lose_nothing() {
+async fn concurrent_edits_of_a_row_conflict_instead_of_overwriting() {
     let fleet = deployment(1).await;
     let key = "backend_server:hints-1";
     let stored = fleet.platform.row(ROWS, key).await.unwrap().unwrap();
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn a_write_whose_answer_was_lost_is_known_to_have_taken_effect() {
+async fn a_write_whose_response_was_lost_is_reported_as_successful() {
     let fleet = deployment(1).await;
     fleet.fake.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     fleet.edit(&[("service:late", json!({ "kind": "plain" }))]).await.unwrap();
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_write_that_was_lost_is_known_not_to_take_effect_ever() {
+async fn a_write_whose_request_was_lost_fails_with_a_known_outcome() {
     let fleet = deployment(1).await;
     fleet.fake.set_faults(Faults { lose_requests: 1, ..Faults::default() });
     let error = fleet.edit(&[("service:lost", json!({ "kind": "plain" }))]).await.unwrap_err();
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn acceptors_that_race_make_one_version_of_each_edit() {
+async fn concurrent_acceptors_create_one_version_per_edit() {
     let mut fleet = Fleet::start().await.unwrap();
     fleet.edit(&[("service:hints", json!({ "kind": "model" }))]).await.unwrap();
     let mut acceptors: Vec<Acceptor> =
@@ -172,7 +172,7 @@
 
 /// Slow answers of the store and restarts of a sidecar must not bring an older version into force.
 #[tokio::test]
-async fn versions_only_grow_in_every_process_over_restarts_and_outages() {
+async fn versions_never_decrease_over_sidecar_restarts_and_slow_store_responses() {
     let mut fleet = deployment(2).await;
     let mut floor = [0; 6];
     for round in 1..=6_u32 {
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn an_added_worker_gets_work_once_its_row_is_in_force() {
+async fn an_added_backend_server_gets_requests_once_its_row_is_in_force() {
     let mut fleet = deployment(1).await;
     fleet.add_engine("hints-9", "dar-1", Behaviour::default()).await.unwrap();
     fleet.edit(&[("backend_server:hints-9", row(100))]).await.unwrap();
--- a/crates/embedded/tests/failures.rs
+++ b/crates/embedded/tests/failures.rs
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_server_that_refuses_costs_nothing_while_another_serves() {
+async fn no_request_fails_while_one_of_two_backend_servers_refuses() {
     let fleet = deployment(2).await;
     fleet.engine("hints-1").set_behaviour(Behaviour { refuse: true, ..Behaviour::default() });
     for number in 0..20 {
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_server_that_asks_for_rest_gets_nothing_meanwhile() {
+async fn a_backend_server_gets_no_requests_during_its_back_off() {
     let fleet = deployment(2).await;
     let backing_off = Behaviour { refuse: true, retry_after_s: Some(500), ..Behaviour::default() };
     let chat =
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_server_that_names_a_limit_gets_no_more() {
+async fn a_backend_server_gets_no_more_requests_than_its_advertised_limit() {
     let fleet = deployment(1).await;
     // A server with a limit of zero still gets one request every ten seconds.
     let limited = Behaviour { advertised_limit_per_s: Some(0.0), ..Behaviour::default() };
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_every_backend_server_refuses_did_not_run_and_is_told_so_at_once() {
+async fn a_request_refused_by_every_backend_server_gets_the_verdict_not_run() {
     let fleet = deployment(2).await;
     for name in ["hints-1", "hints-2"] {
         fleet.engine(name).set_behaviour(Behaviour { refuse: true, ..Behaviour::default() });
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_never_looks_whole() {
+async fn a_truncated_answer_ends_with_an_error_event_and_without_done() {
     let fleet = deployment(1).await;
     let truncated = Behaviour { truncate_after_tokens: Some(5), ..Behaviour::default() };
     fleet.engine("hints-1").set_behaviour(truncated);
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn two_gateways_asked_at_once_with_one_key_run_it_once() {
+async fn concurrent_requests_with_one_key_through_two_gateways_run_once() {
     let fleet = deployment(2).await;
     for round in 0..10 {
         let marker = format!("charged-{round}");
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_key_whose_sidecar_was_restarted_is_not_run_again() {
+async fn a_request_key_is_not_run_again_after_a_sidecar_restart() {
     let mut fleet = deployment(1).await;
     let key = caller(&fleet, "entry-1").request_key("hints").await.unwrap();
     let first = once(caller(&fleet, "entry-1").chat("hints", "charged", 3, true), &key);
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn a_forged_or_borrowed_key_is_refused() {
+async fn a_forged_request_key_or_one_of_another_service_is_refused() {
     let fleet = deployment(1).await;
     let key = caller(&fleet, "entry-1").request_key("puzzles").await.unwrap();
     for bad in ["made-up", &key] {
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn a_sidecar_that_dies_under_a_request_that_is_not_repeatable_leaves_no_second_run() {
+async fn a_non_repeatable_request_is_not_rerun_after_its_sidecar_restarts() {
     let mut fleet = deployment(2).await;
     for name in ["hints-1", "hints-2"] {
         fleet.engine(name).set_behaviour(stalled());
@@ -216,7 +216,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_its_work_down_to_the_engine() {
+async fn a_disconnected_caller_cancels_its_request_at_the_engine() {
     let fleet = deployment(1).await;
     let call = caller(&fleet, "entry-1").chat("hints", "gone", 1_000_000, true);
     let mut response = call.send().await.unwrap();
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_reader_holds_up_nobody_else_on_the_link() {
+async fn a_slow_reader_does_not_block_other_requests_on_the_link() {
     let fleet = deployment(1).await;
     let slow = caller(&fleet, "entry-1").plain("puzzles", "large", "x".repeat(8 << 20));
     let held = slow.send().await.unwrap();
@@ -242,7 +242,7 @@
 }
 
 #[tokio::test]
-async fn a_drained_worker_gets_no_new_work_though_the_list_lags_and_the_store_goes_down() {
+async fn a_draining_backend_server_gets_no_new_requests_in_a_store_outage() {
     let fleet = deployment(2).await;
     let drained = json!({ "service": "hints", "data_centre": "dar-1", "drain": true });
     fleet.edit(&[("backend_server:hints-1", drained)]).await.unwrap();
@@ -258,7 +258,7 @@
 }
 
 #[tokio::test]
-async fn what_waits_at_a_leaving_worker_moves_on_and_what_runs_ends_whole() {
+async fn a_leaving_sidecar_hands_over_queued_requests_and_finishes_running_ones() {
     let fleet = deployment(2).await;
     for name in ["hints-1", "hints-2"] {
         fleet.engine(name).set_behaviour(stalled());
@@ -292,7 +292,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_gateway_serves_callers_that_keep_an_old_answer_and_cuts_nothing_off() {
+async fn a_leaving_gateway_finishes_streams_and_serves_callers_with_old_endpoint_lists() {
     let fleet = deployment(1).await;
     let old = caller(&fleet, "entry-1");
     let stream = tokio::spawn(finish(old.chat("hints", "long", 400, true)));
@@ -312,7 +312,7 @@
 }
 
 #[tokio::test]
-async fn a_deadline_is_kept_in_the_queue_and_the_request_did_not_run() {
+async fn a_request_whose_deadline_passes_in_the_queue_does_not_run() {
     let fleet = deployment(1).await;
     fleet.engine("hints-1").set_behaviour(stalled());
     let hold: Vec<_> = (0..32)
@@ -334,7 +334,7 @@
 }
 
 #[tokio::test]
-async fn an_account_over_its_limit_is_refused_at_once_and_told_when_to_come_back() {
+async fn an_account_over_its_limit_is_refused_with_a_retry_time() {
     let fleet = deployment(1).await;
     let small = Caller::new(&fleet.url("entry-1"), SMALL_KEY).unwrap();
     let mut refused = 0;
@@ -356,7 +356,7 @@
 }
 
 #[tokio::test]
-async fn health_and_metrics_follow_a_drain() {
+async fn a_sidecar_serves_metrics_and_is_not_ready_after_leaving() {
     let fleet = deployment(1).await;
     let ready = async |address: std::net::SocketAddr| {
         let answer = reqwest::get(format!("http://{address}/readyz")).await.unwrap();
--- a/crates/embedded/tests/groups.rs
+++ b/crates/embedded/tests/groups.rs
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_hot_set_is_spread_and_every_step_uses_one_map() {
+async fn hot_experts_are_balanced_and_every_step_uses_one_map() {
     let (_fleet, group) = group().await;
     for experts in [[0, 4, 8], [1, 2, 3], [5, 10, 15]] {
         let shares = hot(&experts);
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rank_that_cannot_load_keeps_the_old_map_and_the_group_steps_on() {
+async fn a_failed_load_on_one_rank_aborts_the_map_switch_and_steps_continue() {
     let (_fleet, group) = group().await;
     group.set_fails_loads(2, true);
     group.set_popularity(hot(&[0, 4, 8]));
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaders_that_are_killed_in_the_middle_leave_one_map_and_a_group_that_steps() {
+async fn sidecar_restarts_during_a_rebalance_leave_one_map_and_steps_continue() {
     let (mut fleet, group) = group().await;
     for round in 0..6_usize {
         let shares = hot(&[round, (round + 5) % EXPERTS, (round + 9) % EXPERTS]);
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_store_neither_splits_nor_stops_a_group() {
+async fn a_group_continues_with_one_map_during_a_store_outage() {
     let (fleet, group) = group().await;
     let shares = hot(&[0, 4, 8]);
     group.set_popularity(shares.clone());
--- a/crates/embedded/tests/path.rs
+++ b/crates/embedded/tests/path.rs
@@ -15,7 +15,7 @@
 use common::expected;
 
 #[tokio::test]
-async fn a_streamed_answer_comes_back_whole() {
+async fn a_streamed_answer_is_returned_complete() {
     let fleet = deployment(2).await;
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     let outcome = finish(caller.chat("hints", "solver-7", 20, true)).await.unwrap();
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_comes_back_as_json() {
+async fn an_answer_without_streaming_is_returned_as_json() {
     let fleet = deployment(1).await;
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     let outcome = finish(caller.chat("hints", "m", 3, false)).await.unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_plain_service_gets_any_method_path_and_a_large_body() {
+async fn a_plain_service_gets_the_path_and_a_large_body() {
     let fleet = deployment(1).await;
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     let body = "puzzle ".repeat(200_000);
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn bad_calls_are_told_what_to_mend_and_did_not_run() {
+async fn invalid_calls_are_refused_with_status_and_cause_and_do_not_run() {
     let fleet = deployment(1).await;
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     let stranger = Caller::new(&fleet.url("entry-1"), "wrong").unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn a_chat_call_with_a_tools_default_content_type_is_answered() {
+async fn a_chat_call_with_a_form_content_type_is_answered() {
     let fleet = deployment(1).await;
     let caller = Caller::new(&fleet.url("entry-1"), KEY).unwrap();
     let body = r#"{"model":"hints","max_tokens":2,"messages":[{"role":"user","content":"m"}]}"#;
--- a/crates/embedded/tests/subsets.rs
+++ b/crates/embedded/tests/subsets.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_links_once_it_is_given_to_callers_though_the_list_is_as_long_as_before() {
+async fn a_gateway_links_once_offered_to_callers_though_the_list_length_is_unchanged() {
     // `entry-1`, and as many gateways with higher scores as callers of a service get.
     let own = || "entry-1".to_owned();
     let higher_scored: Vec<String> = (0..)
--- a/crates/hooktrestled/tests/processes.rs
+++ b/crates/hooktrestled/tests/processes.rs
@@ -143,7 +143,7 @@
 /// Guards against answers truncated by the termination of a sidecar: it must finish the requests in
 /// flight before it exits, and exit with 0.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_terminated_sidecar_ends_what_runs_and_exits_with_0() {
+async fn a_terminated_sidecar_finishes_requests_in_flight_and_exits_with_0() {
     let fleet = Fleet::start().await.unwrap();
     let (one, two) = (engine().await, engine().await);
     let mut leaving = start(&fleet, "hints-1", "sidecar", &sidecar_section(&one));
--- a/crates/hooktrestled/tests/settings.rs
+++ b/crates/hooktrestled/tests/settings.rs
@@ -22,13 +22,13 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn any_text_is_read_or_refused(text in any::<String>()) {
+    fn arbitrary_text_is_refused_with_the_file_name(text in any::<String>()) {
         let read = settings::parse("some.ini", &text);
         prop_assert!(read.is_err_and(|error| error.to_string().starts_with("some.ini")));
     }
 
     #[test]
-    fn a_good_file_with_one_line_more_says_what_is_wrong_with_it(key in "[a-z_]{1,12}", value in "[ -~]{0,12}") {
+    fn errors_about_an_added_settings_line_name_the_file(key in "[a-z_]{1,12}", value in "[ -~]{0,12}") {
         let text = format!("{GOOD}{key} = {value}\n");
         if let Err(error) = settings::parse("some.ini", &text) {
             prop_assert!(error.to_string().contains("some.ini"), "{error}");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_left_out_gets_its_default_and_what_is_wrong_its_range() {
+fn missing_settings_get_defaults_and_invalid_ones_descriptive_errors() {
     let good = settings::parse("a.ini", GOOD).unwrap();
     assert_eq!(good.platform.poll_ms, 1_500);
     let cases = [
--- a/crates/link/tests/codec.rs
+++ b/crates/link/tests/codec.rs
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn frames_come_back_as_they_went(
+    fn frames_are_unchanged_by_encoding_and_decoding(
         number in any::<u64>(),
         attempt in any::<u32>(),
         sequence in any::<u64>(),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_proof_holds_for_its_challenge_and_claims_alone_and_keys_change_without_a_stop() {
+fn proofs_are_bound_to_challenge_and_claims_and_keys_can_be_rotated() {
     let old = Keys::parse("old").unwrap();
     let both = Keys::parse("new, old").unwrap();
     let new = Keys::parse("new").unwrap();
--- a/crates/link/tests/links.rs
+++ b/crates/link/tests/links.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_was_flushed_arrives_though_the_process_ends_at_once() {
+fn flushed_frames_arrive_though_the_sender_exits_at_once() {
     let reading = Builder::new_current_thread().enable_all().build().unwrap();
     let listener = reading.block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_second_run_of_what_must_not_be_repeated_is_found() {
+fn a_second_run_of_a_non_repeatable_request_is_a_violation() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
         let server = start_server(&ledger).await;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_refusal_of_what_runs_is_found_whichever_comes_first() {
+fn a_not_run_verdict_for_a_run_request_is_a_violation_in_either_order() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
         let server = start_server(&ledger).await;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_nobody_asked_is_found() {
+fn a_request_that_no_caller_sent_is_a_violation() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
         let server = start_server(&ledger).await;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn work_for_a_server_that_left_is_found() {
+fn a_request_to_a_leaving_server_is_a_violation() {
     run(async {
         let ledger = Ledger::new(zero_bounds());
         let server = start_server(&ledger).await;
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn work_for_a_caller_that_left_is_found_until_its_end() {
+fn work_for_a_disconnected_caller_is_reported_as_one_violation() {
     run(async {
         let ledger = Ledger::new(zero_bounds());
         let server = start_server(&ledger).await;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn too_many_repeats_are_found() {
+fn too_many_retries_are_a_violation() {
     run(async {
         let ledger = Ledger::new(Bounds::default());
         let server = start_server(&ledger).await;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_depends_on_time_is_not_judged_while_something_goes_wrong() {
+fn time_bounds_are_not_checked_during_a_fault() {
     run(async {
         let ledger = Ledger::new(zero_bounds());
         let server = start_server(&ledger).await;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_request_for_a_server_that_asked_this_gateway_for_rest_is_found() {
+fn a_request_during_a_back_off_known_to_the_gateway_is_a_violation() {
     run(async {
         let bounds = Bounds { back_off: Duration::ZERO, ..Bounds::default() };
         let ledger = Ledger::new(bounds);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_request_for_a_server_that_told_this_gateway_that_it_leaves_is_found() {
+fn a_request_after_a_leaving_notice_to_the_same_gateway_is_a_violation() {
     run(async {
         let ledger = Ledger::new(zero_bounds());
         let server = start_server(&ledger).await;
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn more_than_a_server_takes_is_found_whichever_gateways_it_comes_through() {
+fn exceeding_an_advertised_limit_across_gateways_is_a_violation() {
     run(async {
         let ledger = Ledger::new(zero_bounds());
         let server = start_server(&ledger).await;
--- a/crates/soak/tests/schedules.rs
+++ b/crates/soak/tests/schedules.rs
@@ -13,7 +13,7 @@
 const LENGTH: Duration = Duration::from_secs(200);
 
 #[test]
-fn a_seed_draws_the_same_troubles_of_all_kinds_and_ends_in_calm() {
+fn a_seed_draws_the_same_faults_and_ends_without_faults() {
     let kinds = FAULT_KINDS.map(|(_, kind)| kind);
     let mut seen = Vec::new();
     for seed in 0..20 {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_failing_seed_is_shrunk_to_what_makes_it_fail() {
+fn a_failing_schedule_is_shrunk_to_the_faults_it_needs() {
     let all = draw(3, LENGTH, &FAULT_KINDS.map(|(_, kind)| kind));
     let needed = [all[4], all[11]];
     let remaining = shrink(&all, 1_000, |subset| needed.iter().all(|one| subset.contains(one)));
--- a/xtask/tests/style.rs
+++ b/xtask/tests/style.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn imports_stand_one_a_line_in_three_groups() {
+fn imports_must_be_one_per_line_in_three_groups() {
     assert_eq!(
         style::imports("a.rs", "use std::fmt;\n\nuse eyre::Result;\n\nuse crate::a::B;\n"),
         []
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn the_four_words_are_the_briefs() {
+fn synonyms_of_the_four_prescribed_terms_are_rejected() {
     assert_eq!(style::words("a.rs", "// the data centre of an account\nlet horizon = 1;\n"), []);
     assert_eq!(style::words("a.rs", "/// The zone.\nlet customer_id = 1;\n").len(), 2);
 }
 
 #[test]
-fn files_stay_short() {
+fn files_longer_than_600_lines_are_rejected() {
     assert_eq!(style::length("a.rs", &"x\n".repeat(600)), []);
     assert_eq!(style::length("a.rs", &"x\n".repeat(601)).len(), 1);
 }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn links_lead_to_pages() {
+fn links_to_missing_pages_are_rejected() {
     let tree = files(&[("docs/A.md", ""), ("README.md", "")]);
     assert_eq!(style::links("docs/B.md", "[a](A.md#x) [r](../README.md)", &tree), []);
     assert_eq!(style::links("docs/B.md", "[c](C.md)", &tree).len(), 1);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_platforms_words_stand_in_its_folder_only() {
+fn platform_words_outside_the_platform_and_deploy_folders_are_rejected() {
     let tree = files(&[("platform/words.txt", "queerKey\nodd-call\n")]);
     let line = "let path = \"/odd-call\";\n";
     assert_eq!(style::platform_words("crates/a/src/b.rs", line, &tree).len(), 1);
